--- a/src/key_value/record_dialect.hpp
+++ b/src/key_value/record_adapter.hpp
@@ -24,10 +24,10 @@
 
 /// Translates the calls of the record client into the HTTP calls of one kind
 /// of store. An adapter implements it; it keeps no state.
-class record_dialect
+class record_adapter
 {
 public:
-    virtual ~record_dialect() = default;
+    virtual ~record_adapter() = default;
 
     virtual net::http_request get(const std::string& key,
                                   read_freshness freshness) const = 0;
--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -59,10 +59,10 @@
 
 record_client::record_client(net::event_loop& event_loop,
                              net::http_client& client, endpoint store_address,
-                             const record_dialect& calls_of_store,
+                             const record_adapter& calls_of_store,
                              random_source& random_numbers)
     : loop(event_loop), http(client), address(std::move(store_address)),
-      dialect(calls_of_store), random(random_numbers)
+      adapter(calls_of_store), random(random_numbers)
 {
 }
 
@@ -78,13 +78,13 @@
                         int repeats, get_callback callback)
 {
     this->count_read(freshness);
-    this->send(this->dialect.get(key, freshness), call_timeout,
+    this->send(this->adapter.get(key, freshness), call_timeout,
                [this, key, freshness, repeats, callback = std::move(callback)](
                    const result<net::http_response>& answer)
                {
                    if (answer.has_value())
                    {
-                       callback(this->dialect.read_get(key, answer.value()));
+                       callback(this->adapter.read_get(key, answer.value()));
                    }
                    else if (repeats > 0)
                    {
@@ -114,7 +114,7 @@
                                   : state->collected.records.back().key;
     this->count_read(state->freshness);
     net::http_request request =
-        this->dialect.list(state->prefix, after, state->freshness);
+        this->adapter.list(state->prefix, after, state->freshness);
     request.head_timeout = call_timeout;
     request.idle_timeout = call_timeout;
     this->send(std::move(request), listing_timeout,
@@ -125,7 +125,7 @@
                        state->callback(response.error());
                        return;
                    }
-                   auto page = this->dialect.read_list(response.value());
+                   auto page = this->adapter.read_list(response.value());
                    if (page.has_error())
                    {
                        state->callback(page.error());
@@ -155,7 +155,7 @@
 void record_client::watch(const std::string& prefix, store_revision after,
                           watch_callback callback)
 {
-    net::http_request request = this->dialect.watch(prefix, after, watch_wait);
+    net::http_request request = this->adapter.watch(prefix, after, watch_wait);
     request.probe_connection = true;
     ++this->counts.watches;
     this->send(request, watch_timeout,
@@ -167,7 +167,7 @@
                        callback(response.error());
                        return;
                    }
-                   callback(this->dialect.read_watch(response.value()));
+                   callback(this->adapter.read_watch(response.value()));
                });
 }
 
@@ -176,7 +176,7 @@
 {
     const auto state = std::make_shared<commit_state>();
     state->transaction = std::move(transaction);
-    state->request = this->dialect.commit(state->transaction);
+    state->request = this->adapter.commit(state->transaction);
     state->limit = net::event_loop::now() + limit;
     state->callback = std::move(callback);
     this->send_commit(state);
@@ -196,7 +196,7 @@
                        this->repeat_commit(state, response.error());
                        return;
                    }
-                   auto outcome = this->dialect.read_commit(state->transaction,
+                   auto outcome = this->adapter.read_commit(state->transaction,
                                                             response.value());
                    if (outcome.has_error())
                    {
--- a/src/key_value/record_client.hpp
+++ b/src/key_value/record_client.hpp
@@ -2,7 +2,7 @@
 
 #include "key_value/call_counts.hpp"
 #include "key_value/outage_detector.hpp"
-#include "key_value/record_dialect.hpp"
+#include "key_value/record_adapter.hpp"
 #include "net/event_loop.hpp"
 #include "net/http_client.hpp"
 #include "units/endpoint.hpp"
@@ -33,7 +33,7 @@
     using reach_callback = std::function<void(bool reachable)>;
 
     record_client(net::event_loop& event_loop, net::http_client& client,
-                  endpoint address, const record_dialect& calls,
+                  endpoint address, const record_adapter& calls,
                   random_source& random_numbers);
     ~record_client();
     record_client(const record_client&) = delete;
@@ -84,7 +84,7 @@
     net::event_loop& loop;
     net::http_client& http;
     endpoint address;
-    const record_dialect& dialect;
+    const record_adapter& adapter;
     random_source& random;
     outage_detector outage;
     std::vector<reach_callback> reach_callbacks;
--- a/src/relay/address_service.cpp
+++ b/src/relay/address_service.cpp
@@ -48,7 +48,7 @@
                {"zone", question.availability_zone.str()},
                {"count", answer.addresses.size()}});
     exchange->respond_json(200,
-                           this->context.dialect.write_address_answer(answer));
+                           this->context.adapter.write_address_answer(answer));
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/configuration_follower.cpp
+++ b/src/relay/configuration_follower.cpp
@@ -7,13 +7,12 @@
 namespace parsleytrack::relay
 {
 
-configuration_follower::configuration_follower(net::event_loop& event_loop,
-                                               key_value::record_client& client,
-                                               random_source& random_numbers,
-                                               const relay_dialect& translator)
-    : dialect(translator),
+configuration_follower::configuration_follower(
+    net::event_loop& event_loop, key_value::record_client& client,
+    random_source& random_numbers, const relay_adapter& protocol_adapter)
+    : adapter(protocol_adapter),
       follower(event_loop, client, random_numbers,
-               translator.keys().configuration, duration::zero(),
+               protocol_adapter.keys().configuration, duration::zero(),
                key_value::record_follower::each_record(
                    [this](const key_value::stored_record& record)
                    { this->take(record); }))
@@ -32,11 +31,11 @@
 
 void configuration_follower::take(const key_value::stored_record& record)
 {
-    if (record.key != this->dialect.keys().configuration)
+    if (record.key != this->adapter.keys().configuration)
     {
         return;
     }
-    auto read = this->dialect.read_configuration(record.value);
+    auto read = this->adapter.read_configuration(record.value);
     if (read.has_error())
     {
         log_event(log_level::error, "configuration_refused",
--- a/src/relay/configuration_follower.hpp
+++ b/src/relay/configuration_follower.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "key_value/record_follower.hpp"
-#include "relay/relay_dialect.hpp"
+#include "relay/relay_adapter.hpp"
 #include "routing/route_table.hpp"
 
 #include <functional>
@@ -19,7 +19,7 @@
     configuration_follower(net::event_loop& event_loop,
                            key_value::record_client& client,
                            random_source& random_numbers,
-                           const relay_dialect& translator);
+                           const relay_adapter& protocol_adapter);
 
     void start() { this->follower.start(); }
 
@@ -38,7 +38,7 @@
 private:
     void take(const key_value::stored_record& record);
 
-    const relay_dialect& dialect;
+    const relay_adapter& adapter;
     key_value::record_follower follower;
     std::shared_ptr<const routing::route_table> table;
     std::vector<std::function<void()>> change_callbacks;
--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -59,7 +59,7 @@
         return;
     }
     this->replica = granted;
-    const header_names& names = this->context.dialect.headers();
+    const header_names& names = this->context.adapter.headers();
     net::http_request request;
     request.method = "POST";
     request.target = this->item.target;
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -77,7 +77,7 @@
     const std::shared_ptr<const routing::route_table>& table,
     const routing::route& route)
 {
-    const std::string& id_header = this->context.dialect.headers().request_id;
+    const std::string& id_header = this->context.adapter.headers().request_id;
     const auto& headers = exchange->head().headers;
     const std::string* id = net::find_header(headers, id_header.c_str());
     const std::string* host = net::find_header(headers, "Host");
@@ -102,7 +102,7 @@
                           const std::string& body) mutable
                       {
                           auto items =
-                              this->context.dialect.read_submission(body);
+                              this->context.adapter.read_submission(body);
                           if (items.has_error())
                           {
                               log_event(log_level::info, "job_refused",
@@ -212,7 +212,7 @@
     duration wait = duration::zero();
     const std::string* text =
         net::find_header(exchange->head().headers,
-                         this->context.dialect.headers().wait_ms.c_str());
+                         this->context.adapter.headers().wait_ms.c_str());
     if (text != nullptr)
     {
         std::int64_t count = 0;
@@ -224,7 +224,7 @@
         [this, exchange, after = call.after](const jobs::job_page& page)
     {
         exchange->respond_json(
-            status_ok, this->context.dialect.write_results(page, after));
+            status_ok, this->context.adapter.write_results(page, after));
     };
     const auto found = this->owned.find(call.job);
     if (found != this->owned.end())
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -147,14 +147,14 @@
         this->take_end(verdict, std::move(response), reason);
     };
     this->attempt = std::make_unique<replica_exchange>(
-        this->context.http, this->context.dialect.headers(), *entry,
+        this->context.http, this->context.adapter.headers(), *entry,
         this->make_request(), this->request.id, std::move(hooks));
 }
 
 net::http_request online_call::make_request() const
 {
     net::http_request sent =
-        replica_request(this->exchange->head(), this->context.dialect.headers(),
+        replica_request(this->exchange->head(), this->context.adapter.headers(),
                         this->remaining(), this->last_event);
     sent.body = this->request.body;
     const bool repeatable = this->request.route->is_repeatable();
--- a/src/relay/online_service.cpp
+++ b/src/relay/online_service.cpp
@@ -44,7 +44,7 @@
                           std::shared_ptr<const routing::route_table> table,
                           const routing::route& route)
 {
-    const header_names& names = this->context.dialect.headers();
+    const header_names& names = this->context.adapter.headers();
     const std::string* id =
         net::find_header(exchange->head().headers, names.request_id.c_str());
     if (id == nullptr)
--- a/src/relay/relay_dialect.hpp
+++ b/src/relay/relay_adapter.hpp
@@ -2,7 +2,7 @@
 
 #include "jobs/job_input.hpp"
 #include "jobs/job_page.hpp"
-#include "key_value/record_dialect.hpp"
+#include "key_value/record_adapter.hpp"
 #include "net/http_request_head.hpp"
 #include "relay/address_question.hpp"
 #include "relay/header_names.hpp"
@@ -22,14 +22,14 @@
 
 /// Translates between what the world outside speaks and the relay's own types.
 /// An adapter implements it; it keeps no state and decides nothing.
-class relay_dialect
+class relay_adapter
 {
 public:
-    virtual ~relay_dialect() = default;
+    virtual ~relay_adapter() = default;
 
     virtual const header_names& headers() const = 0;
     virtual const store_keys& keys() const = 0;
-    virtual const key_value::record_dialect& records() const = 0;
+    virtual const key_value::record_adapter& records() const = 0;
 
     /// \param value What operators have written.
     virtual result<routing::configuration>
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -6,7 +6,7 @@
 #include "net/http_client.hpp"
 #include "peering/peer_group.hpp"
 #include "relay/configuration_follower.hpp"
-#include "relay/relay_dialect.hpp"
+#include "relay/relay_adapter.hpp"
 #include "relay/replica_follower.hpp"
 #include "settings/relay_settings.hpp"
 #include "units/random_source.hpp"
@@ -19,7 +19,7 @@
 struct relay_context
 {
     const settings::relay_settings& settings;
-    const relay_dialect& dialect;
+    const relay_adapter& adapter;
     net::event_loop& loop;
     /// Sends requests to replicas.
     net::http_client& http;
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -66,26 +66,27 @@
 struct relay_node::state
 {
     state(settings::relay_settings node_settings, std::string path,
-          const relay_dialect& translator)
+          const relay_adapter& protocol_adapter)
         : settings(std::move(node_settings)), settings_path(std::move(path)),
-          dialect(translator), random(random_seed()), front(this->loop),
+          adapter(protocol_adapter), random(random_seed()), front(this->loop),
           ready(this->loop), directory(this->loop), metrics_server(this->loop),
           replica_client(this->loop), store_client(this->loop),
           peers(this->loop),
           store(this->loop, this->store_client, this->settings.store,
-                translator.records(), this->random),
+                protocol_adapter.records(), this->random),
           group(this->loop, this->peers, this->random, own_info(this->settings),
                 this->settings.seeds),
-          configuration(this->loop, this->store, this->random, translator),
+          configuration(this->loop, this->store, this->random,
+                        protocol_adapter),
           replicas(this->loop, this->store, this->peers, this->group,
-                   this->random, translator,
+                   this->random, protocol_adapter,
                    static_cast<std::size_t>(this->settings.most_alone))
     {
     }
 
     settings::relay_settings settings;
     std::string settings_path;
-    const relay_dialect& dialect;
+    const relay_adapter& adapter;
     random_source random;
     net::event_loop loop;
     net::http_server front;
@@ -101,7 +102,7 @@
     replica_follower replicas;
     metrics::registry metrics;
     relay_context context{
-        this->settings, this->dialect, this->loop,  this->replica_client,
+        this->settings, this->adapter, this->loop,  this->replica_client,
         this->peers,    this->group,   this->store, this->configuration,
         this->replicas, this->metrics, this->random};
     slot_desk desk{this->context};
@@ -193,7 +194,7 @@
         return;
     }
     const net::http_request_head& head = exchange->head();
-    if (const auto call = this->dialect.read_job_call(head))
+    if (const auto call = this->adapter.read_job_call(head))
     {
         this->jobs.take(exchange, *call);
         return;
@@ -234,7 +235,7 @@
 void relay_node::state::take_directory(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
-    const auto question = this->dialect.read_address_question(exchange->head());
+    const auto question = this->adapter.read_address_question(exchange->head());
     if (!question)
     {
         refuse(*exchange, error{error_code::not_found,
@@ -316,10 +317,9 @@
 }
 
 relay_node::relay_node(settings::relay_settings node_settings,
-                       std::string settings_path,
-                       const relay_dialect& translator)
+                       std::string settings_path, const relay_adapter& adapter)
     : contents(std::make_unique<state>(std::move(node_settings),
-                                       std::move(settings_path), translator))
+                                       std::move(settings_path), adapter))
 {
 }
 
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "relay/relay_dialect.hpp"
+#include "relay/relay_adapter.hpp"
 #include "settings/relay_settings.hpp"
 #include "units/result.hpp"
 
@@ -17,9 +17,9 @@
 public:
     /// \param node_settings The settings.
     /// \param settings_path Where they were read, for reloads.
-    /// \param translator Outlives this object.
+    /// \param adapter Outlives this object.
     relay_node(settings::relay_settings node_settings,
-               std::string settings_path, const relay_dialect& translator);
+               std::string settings_path, const relay_adapter& adapter);
     ~relay_node();
     relay_node(const relay_node&) = delete;
     relay_node& operator=(const relay_node&) = delete;
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -22,11 +22,12 @@
                                    wire::peer_network& network,
                                    peering::peer_group& nodes,
                                    random_source& random_numbers,
-                                   const relay_dialect& translator,
+                                   const relay_adapter& protocol_adapter,
                                    std::size_t most_alone)
-    : loop(event_loop), dialect(translator),
+    : loop(event_loop), adapter(protocol_adapter),
       follower(event_loop, client, network, nodes, random_numbers,
-               translator.keys().replica_prefix, collecting_time, most_alone,
+               protocol_adapter.keys().replica_prefix, collecting_time,
+               most_alone,
                {[this](const key_value::record_listing& listing, bool failed)
                 { this->take_listing(listing, failed); },
                 [this](const std::vector<key_value::record_change>& changes)
@@ -74,7 +75,7 @@
     std::map<replica_id, routing::replica_entry> entries;
     for (const key_value::stored_record& record : listing.records)
     {
-        auto entry = this->dialect.read_replica(record.key, record.value);
+        auto entry = this->adapter.read_replica(record.key, record.value);
         if (entry.has_error())
         {
             log_event(log_level::warning, "replica_entry_skipped",
@@ -95,7 +96,7 @@
 void replica_follower::take_change(const key_value::record_change& change)
 {
     const std::string& key = change.record.key;
-    const std::size_t prefix = this->dialect.keys().replica_prefix.size();
+    const std::size_t prefix = this->adapter.keys().replica_prefix.size();
     const replica_id id(key.size() > prefix ? key.substr(prefix) : key);
     if (change.deleted)
     {
@@ -105,7 +106,7 @@
         this->replicas.remove(id, net::event_loop::now());
         return;
     }
-    auto entry = this->dialect.read_replica(key, change.record.value);
+    auto entry = this->adapter.read_replica(key, change.record.value);
     if (entry.has_error())
     {
         log_event(log_level::warning, "replica_entry_skipped",
--- a/src/relay/replica_follower.hpp
+++ b/src/relay/replica_follower.hpp
@@ -2,7 +2,7 @@
 
 #include "feeds/record_feed.hpp"
 #include "net/event_loop.hpp"
-#include "relay/relay_dialect.hpp"
+#include "relay/relay_adapter.hpp"
 #include "routing/replica_book.hpp"
 
 #include <functional>
@@ -20,7 +20,8 @@
                      key_value::record_client& client,
                      wire::peer_network& network, peering::peer_group& nodes,
                      random_source& random_numbers,
-                     const relay_dialect& translator, std::size_t most_alone);
+                     const relay_adapter& protocol_adapter,
+                     std::size_t most_alone);
 
     void start() { this->follower.start(); }
 
@@ -45,7 +46,7 @@
     void tell();
 
     net::event_loop& loop;
-    const relay_dialect& dialect;
+    const relay_adapter& adapter;
     feeds::record_feed follower;
     routing::replica_book replicas;
     std::vector<std::function<void()>> change_callbacks;
--- a/src/relay/run.cpp
+++ b/src/relay/run.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-int run_node(const std::string& settings_path, const relay_dialect& dialect)
+int run_node(const std::string& settings_path, const relay_adapter& adapter)
 {
     const auto outcome = settings::load_relay_settings(settings_path);
     if (const auto* problems = std::get_if<findings>(&outcome))
@@ -30,11 +30,11 @@
     configure_logging(settings.level, settings.id.str());
     if (!settings.front)
     {
-        storage_node node(settings, dialect);
+        storage_node node(settings, adapter);
         node.run();
         return 0;
     }
-    relay_node node(settings, settings_path, dialect);
+    relay_node node(settings, settings_path, adapter);
     const result<bool> started = node.start();
     if (started.has_error())
     {
--- a/src/relay/storage_node.cpp
+++ b/src/relay/storage_node.cpp
@@ -18,13 +18,14 @@
 } // namespace
 
 storage_node::storage_node(settings::relay_settings node_settings,
-                           const relay_dialect& translator)
-    : settings(std::move(node_settings)), dialect(translator),
+                           const relay_adapter& protocol_adapter)
+    : settings(std::move(node_settings)), adapter(protocol_adapter),
       random(std::random_device()()), http(this->loop),
-      store(this->loop, this->http, this->settings.store, translator.records(),
-            this->random),
+      store(this->loop, this->http, this->settings.store,
+            protocol_adapter.records(), this->random),
       follower(this->loop, this->store, this->random,
-               translator.keys().retirement_prefix + this->settings.id.str(),
+               protocol_adapter.keys().retirement_prefix +
+                   this->settings.id.str(),
                duration::zero(),
                key_value::record_follower::each_record(
                    [this](const key_value::stored_record& record)
@@ -53,7 +54,7 @@
 void storage_node::take(const key_value::stored_record& record)
 {
     const std::string own_key =
-        this->dialect.keys().retirement_prefix + this->settings.id.str();
+        this->adapter.keys().retirement_prefix + this->settings.id.str();
     if (record.key != own_key || std::exchange(this->reporting, true))
     {
         return;
@@ -66,9 +67,9 @@
 void storage_node::report_empty()
 {
     const std::string key =
-        this->dialect.keys().retirement_state_prefix + this->settings.id.str();
+        this->adapter.keys().retirement_state_prefix + this->settings.id.str();
     key_value::record_transaction transaction;
-    transaction.puts = {{key, this->dialect.write_retirement_state(true)}};
+    transaction.puts = {{key, this->adapter.write_retirement_state(true)}};
     this->store.commit(
         std::move(transaction), report_limit,
         [this](const result<key_value::transaction_outcome>& outcome)
--- a/src/relay/storage_node.hpp
+++ b/src/relay/storage_node.hpp
@@ -4,7 +4,7 @@
 #include "key_value/record_follower.hpp"
 #include "net/event_loop.hpp"
 #include "net/http_client.hpp"
-#include "relay/relay_dialect.hpp"
+#include "relay/relay_adapter.hpp"
 #include "settings/relay_settings.hpp"
 #include "units/random_source.hpp"
 
@@ -17,9 +17,9 @@
 {
 public:
     /// \param node_settings The settings.
-    /// \param translator Outlives this object.
+    /// \param protocol_adapter Outlives this object.
     storage_node(settings::relay_settings node_settings,
-                 const relay_dialect& translator);
+                 const relay_adapter& protocol_adapter);
 
     /// Runs until it is told to stop.
     void run();
@@ -29,7 +29,7 @@
     void report_empty();
 
     settings::relay_settings settings;
-    const relay_dialect& dialect;
+    const relay_adapter& adapter;
     random_source random;
     net::event_loop loop;
     net::http_client http;
--- a/tests/fuzz/platform_fuzz_test.cpp
+++ b/tests/fuzz/platform_fuzz_test.cpp
@@ -2,7 +2,7 @@
 #include "jobs/job_codec.hpp"
 #include "platform/configuration_decoder.hpp"
 #include "platform/job_translation.hpp"
-#include "platform/kv_dialect.hpp"
+#include "platform/kv_adapter.hpp"
 #include "platform/replica_decoder.hpp"
 #include "relay/event_splitter.hpp"
 #include "relay/slot_codec.hpp"
@@ -78,7 +78,7 @@
 
 TEST(platform_fuzz, damaged_answers_of_the_store_do_no_harm)
 {
-    const kv_dialect kv;
+    const kv_adapter kv;
     for (int round = 0; round < rounds; ++round)
     {
         const auto answer = response(
--- a/tests/platform/kv_dialect_test.cpp
+++ b/tests/platform/kv_adapter_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/kv_dialect.hpp"
+#include "platform/kv_adapter.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -8,9 +8,9 @@
 using namespace parsleytrack::platform;
 using key_value::read_freshness;
 
-TEST_GROUP(kv_dialect)
+TEST_GROUP(kv_adapter)
 {
-    kv_dialect kv;
+    kv_adapter kv;
 
     static net::http_response answer(int status, const char* body)
     {
@@ -21,7 +21,7 @@
     }
 };
 
-TEST(kv_dialect, a_missing_key_is_no_error)
+TEST(kv_adapter, a_missing_key_is_no_error)
 {
     const auto read = this->kv.read_get("k", answer(404, ""));
     CHECK_FALSE(read.value().exists());
@@ -29,7 +29,7 @@
     CHECK(this->kv.read_get("k", answer(200, "{")).has_error());
 }
 
-TEST(kv_dialect, reads_an_item)
+TEST(kv_adapter, reads_an_item)
 {
     const auto read = this->kv.read_get(
         "k", answer(200, R"({"key":"k","value":"bm9kZS0x","revision":412,
@@ -38,7 +38,7 @@
     CHECK_EQUAL(412, read.value().revision.count());
 }
 
-TEST(kv_dialect, asks_for_stale_reads_only_where_allowed)
+TEST(kv_adapter, asks_for_stale_reads_only_where_allowed)
 {
     CHECK(this->kv.get("a/b c", read_freshness::may_be_stale)
               .target.find("serializable=1") != std::string::npos);
@@ -48,7 +48,7 @@
     CHECK(latest.find(' ') == std::string::npos);
 }
 
-TEST(kv_dialect, reads_changes_and_lost_history)
+TEST(kv_adapter, reads_changes_and_lost_history)
 {
     CHECK(this->kv.read_watch(answer(410, "")).value().history_lost);
     const auto read = this->kv.read_watch(
@@ -59,7 +59,7 @@
     CHECK_EQUAL(4, read.value().read_at.count());
 }
 
-TEST(kv_dialect, a_conflict_tells_what_stands_there)
+TEST(kv_adapter, a_conflict_tells_what_stands_there)
 {
     key_value::record_transaction change;
     change.conditions = {{"a", store_revision(1)}, {"b", store_revision()}};
@@ -72,14 +72,14 @@
     CHECK_FALSE(read.value().current[1].exists());
 }
 
-TEST(kv_dialect, an_unreadable_answer_to_a_change_leaves_it_unknown)
+TEST(kv_adapter, an_unreadable_answer_to_a_change_leaves_it_unknown)
 {
     const auto read = this->kv.read_commit({}, answer(200, "{"));
     CHECK(read.has_error());
     CHECK(read.error().ran == ran_state::unknown);
 }
 
-TEST(kv_dialect, survives_random_bytes)
+TEST(kv_adapter, survives_random_bytes)
 {
     const std::string good =
         R"({"items":[{"key":"a","value":"bm9kZS0x","revision":2}],)"
