--- a/src/decisions/board_outbox.cpp
+++ b/src/decisions/board_outbox.cpp
@@ -30,13 +30,14 @@
 {
 }
 
-void board_outbox::published(const std::string& topic)
+void board_outbox::record_publish(const std::string& topic)
 {
     const auto& values = this->board.latest(topic);
     const auto found = values.find(this->own_id);
     if (found != values.end())
     {
-        this->newest = std::max(this->newest, found->second.version);
+        this->newest_version =
+            std::max(this->newest_version, found->second.version);
     }
 }
 
@@ -49,7 +50,8 @@
     {
         this->turn = (this->turn + stride) % peers.size();
         const node_id& peer = peers[this->turn];
-        if (this->sent[peer][static_cast<std::size_t>(which)] < this->newest)
+        if (this->sent[peer][static_cast<std::size_t>(which)] <
+            this->newest_version)
         {
             return peer;
         }
@@ -61,14 +63,14 @@
                                std::size_t room)
 {
     auto& [first, second] = this->sent[peer];
-    const bool repeats = first >= this->newest;
-    std::uint64_t& version = repeats ? second : first;
+    const bool second_pass = first >= this->newest_version;
+    std::uint64_t& version = second_pass ? second : first;
     std::size_t used = 0;
     for (board_item& item : this->own_items_after(version))
     {
         const std::size_t size = encoded_size_bound(item);
-        const bool fits_nowhere = used == 0 && packet.members.empty();
-        if (used + size > room && !fits_nowhere)
+        const bool packet_is_empty = used == 0 && packet.members.empty();
+        if (used + size > room && !packet_is_empty)
         {
             return used;
         }
@@ -80,7 +82,7 @@
             used += size;
         }
     }
-    version = this->newest;
+    version = this->newest_version;
     return used;
 }
 
--- a/src/decisions/board_outbox.hpp
+++ b/src/decisions/board_outbox.hpp
@@ -16,9 +16,9 @@
 {
 
 /// Which of this node's values of the gossip board each other node has still
-/// to be sent. Each node sends its own values itself, always the newest, so
-/// that a change costs one packet for each receiver however fast it is
-/// overtaken by the next.
+/// to be sent. Each node sends its own values itself, always the
+/// newest, so that a change costs one packet for each receiver however
+/// fast it is overtaken by the next.
 class board_outbox
 {
 public:
@@ -37,7 +37,7 @@
     board_outbox(const gossip_board& values, node_id own, std::size_t salt);
 
     /// Notes that this node has published.
-    void published(const std::string& topic);
+    void record_publish(const std::string& topic);
 
     /// \param peers The nodes that are present, in a fixed order.
     /// \param which The pass.
@@ -55,18 +55,18 @@
                      std::size_t room);
 
     /// Forgets what a node was sent, so that it is sent everything again.
-    void forget(const node_id& peer) { this->sent.erase(peer); }
+    void reset_peer(const node_id& peer) { this->sent.erase(peer); }
 
 private:
     /// The newest version that was sent, for each pass.
-    using progress = std::array<std::uint64_t, 2>;
+    using sent_versions = std::array<std::uint64_t, 2>;
 
     std::vector<board_item> own_items_after(std::uint64_t version) const;
 
     const gossip_board& board;
     node_id own_id;
-    std::uint64_t newest = 0;
-    std::map<node_id, progress> sent;
+    std::uint64_t newest_version = 0;
+    std::map<node_id, sent_versions> sent;
     std::size_t salt;
     std::size_t turn;
 };
--- a/src/decisions/gossip_board.cpp
+++ b/src/decisions/gossip_board.cpp
@@ -28,9 +28,9 @@
 const std::map<node_id, gossip_board::entry>&
 gossip_board::latest(const std::string& topic) const
 {
-    static const std::map<node_id, entry> nothing;
+    static const std::map<node_id, entry> no_entries;
     const auto found = this->topics.find(topic);
-    return found == this->topics.end() ? nothing : found->second;
+    return found == this->topics.end() ? no_entries : found->second;
 }
 
 bool gossip_board::receive(const node_id& from, const std::string& topic,
@@ -50,7 +50,7 @@
     return true;
 }
 
-void gossip_board::outbid(std::uint64_t version)
+void gossip_board::republish_above(std::uint64_t version)
 {
     if (version < this->next_version)
     {
@@ -72,7 +72,7 @@
     }
 }
 
-void gossip_board::forget(const node_id& node)
+void gossip_board::erase_node(const node_id& node)
 {
     for (auto& [topic, entries] : this->topics)
     {
--- a/src/decisions/gossip_board.hpp
+++ b/src/decisions/gossip_board.hpp
@@ -59,10 +59,10 @@
     /// clock was ahead: publishes everything again with higher versions.
     ///
     /// \param version The version that it holds.
-    void outbid(std::uint64_t version);
+    void republish_above(std::uint64_t version);
 
     /// Forgets what a node that is gone has published.
-    void forget(const node_id& node);
+    void erase_node(const node_id& node);
 
     /// \param send Called for each publish().
     void set_sender(sender send);
--- a/src/decisions/strong_nodes.cpp
+++ b/src/decisions/high_capacity_nodes.cpp
@@ -1,11 +1,11 @@
-#include "decisions/strong_nodes.hpp"
+#include "decisions/high_capacity_nodes.hpp"
 
 #include <algorithm>
 
 namespace parsleytrack
 {
 
-std::vector<node_info> strong_nodes(std::vector<node_info> nodes)
+std::vector<node_info> high_capacity_nodes(std::vector<node_info> nodes)
 {
     int most = 0;
     for (const node_info& node : nodes)
--- a/src/decisions/strong_nodes.hpp
+++ b/src/decisions/high_capacity_nodes.hpp
@@ -11,6 +11,6 @@
 ///
 /// \param nodes Living nodes.
 /// \returns Those with at least half of the largest capacity among them.
-std::vector<node_info> strong_nodes(std::vector<node_info> nodes);
+std::vector<node_info> high_capacity_nodes(std::vector<node_info> nodes);
 
 } // namespace parsleytrack
--- a/src/decisions/member_table.cpp
+++ b/src/decisions/member_table.cpp
@@ -42,12 +42,12 @@
             return false;
         }
         this->members[claim.node.id] = member{claim, now};
-        this->index();
+        this->rebuild_indexes();
         return true;
     }
     member& known = found->second;
     const member_record before = known.record;
-    if (!this->join(known, claim, now))
+    if (!this->merge_into(known, claim, now))
     {
         return false;
     }
@@ -56,12 +56,12 @@
     check_invariant(known.record.node.incarnation > before.node.incarnation ||
                         known.record.leaving || !before.leaving,
                     "a leaving node stays so within its incarnation");
-    this->index();
+    this->rebuild_indexes();
     return true;
 }
 
-bool member_table::join(member& known, const member_record& claim,
-                        time_point now)
+bool member_table::merge_into(member& known, const member_record& claim,
+                              time_point now)
 {
     const node_info& node = known.record.node;
     if (claim.node.incarnation < node.incarnation)
@@ -106,20 +106,20 @@
     return expired;
 }
 
-std::vector<node_id> member_table::forget_dead(duration span, time_point now)
+std::vector<node_id> member_table::evict_dead(duration span, time_point now)
 {
-    std::vector<node_id> forgotten;
+    std::vector<node_id> evicted;
     for (auto entry = this->members.begin(); entry != this->members.end();)
     {
         const bool expired =
             is_dead(entry->second.record) && now - entry->second.since >= span;
         if (expired)
         {
-            forgotten.push_back(entry->first);
+            evicted.push_back(entry->first);
         }
         entry = expired ? this->members.erase(entry) : std::next(entry);
     }
-    return forgotten;
+    return evicted;
 }
 
 const member_table::member* member_table::find(const node_id& id) const
@@ -128,7 +128,7 @@
     return found == this->members.end() ? nullptr : &found->second;
 }
 
-void member_table::index()
+void member_table::rebuild_indexes()
 {
     this->not_dead.clear();
     this->suspected.clear();
--- a/src/decisions/member_table.hpp
+++ b/src/decisions/member_table.hpp
@@ -38,7 +38,7 @@
     /// Forgets the nodes that have been dead for at least so long.
     ///
     /// \returns The nodes that were forgotten.
-    std::vector<node_id> forget_dead(duration span, time_point now);
+    std::vector<node_id> evict_dead(duration span, time_point now);
 
     /// \returns The node, or null when it is not known.
     const member* find(const node_id& id) const;
@@ -56,8 +56,8 @@
     const std::vector<node_id>& suspects() const { return this->suspected; }
 
 private:
-    bool join(member& known, const member_record& claim, time_point now);
-    void index();
+    bool merge_into(member& known, const member_record& claim, time_point now);
+    void rebuild_indexes();
 
     std::map<node_id, member> members;
     std::vector<node_id> not_dead;
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -10,9 +10,9 @@
 {
 
 /// How many nodes a node tells at once that it stops.
-constexpr std::size_t first_told = 5;
+constexpr std::size_t stop_announcement_fanout = 5;
 constexpr std::size_t max_salt = 1'000'000;
-constexpr duration forget_interval = std::chrono::seconds(10);
+constexpr duration eviction_interval = std::chrono::seconds(10);
 
 } // namespace
 
@@ -20,10 +20,10 @@
                        const membership_options& chosen_options,
                        random_source& random_numbers, gossip_board& values)
     : own{own_info, false}, options(chosen_options), random(random_numbers),
-      board(values), news(this->table),
+      board(values), updates(this->table),
       outbox(values, own_info.id, random_numbers() % max_salt)
 {
-    this->news.add(this->own.node.id);
+    this->updates.add(this->own.node.id);
 }
 
 void membership::set_seeds(std::vector<endpoint> addresses)
@@ -34,7 +34,7 @@
 
 void membership::tick(time_point now)
 {
-    if (this->gone || this->skip_stall(now))
+    if (this->gone || this->handle_stall(now))
     {
         return;
     }
@@ -52,27 +52,27 @@
     if (now >= this->next_confirmation)
     {
         this->next_confirmation = now + this->options.confirm_interval;
-        this->question_suspects();
-        this->question_one_dead();
+        this->probe_suspects();
+        this->probe_one_dead();
     }
     if (now >= this->next_gossip)
     {
         this->next_gossip = now + this->options.gossip_interval;
-        this->spread_news();
+        this->spread_updates();
         this->spread_board();
     }
     if (now >= this->next_exchange)
     {
-        this->seek_exchange(now);
+        this->start_exchange(now);
     }
 }
 
-bool membership::skip_stall(time_point now)
+bool membership::handle_stall(time_point now)
 {
     const time_point before = this->last_tick.value_or(now);
     this->last_tick = now;
     const duration pause = now - before;
-    if (pause < this->options.stall)
+    if (pause < this->options.stall_threshold)
     {
         return false;
     }
@@ -91,16 +91,16 @@
     {
         outstanding_probe& probe = entry->second;
         const duration waited = now - probe.sent;
-        if (waited >= this->options.suspect_after)
+        if (waited >= this->options.suspect_delay)
         {
             unanswered.push_back(probe.target);
             entry = this->probes.erase(entry);
             continue;
         }
-        if (waited >= this->options.indirect_after && !probe.indirect)
+        if (waited >= this->options.indirect_probe_delay && !probe.indirect)
         {
             probe.indirect = true;
-            this->ask_others(probe, entry->first);
+            this->request_indirect_probes(probe, entry->first);
         }
         ++entry;
     }
@@ -116,11 +116,11 @@
     }
     std::erase_if(
         this->relayed, [this, now](const auto& entry)
-        { return now - entry.second.sent >= this->options.suspect_after; });
+        { return now - entry.second.sent >= this->options.suspect_delay; });
 }
 
-void membership::ask_others(const outstanding_probe& probe,
-                            std::int64_t sequence)
+void membership::request_indirect_probes(const outstanding_probe& probe,
+                                         std::int64_t sequence)
 {
     const auto* target = this->table.find(probe.target);
     if (target == nullptr)
@@ -128,7 +128,7 @@
         return;
     }
     const auto count = static_cast<std::size_t>(this->options.indirect_probes);
-    for (const node_id& helper : this->pick(count, probe.target))
+    for (const node_id& helper : this->pick_random_nodes(count, probe.target))
     {
         membership_packet packet =
             this->make_packet(membership_packet_kind::indirect_probe);
@@ -156,17 +156,17 @@
                *target);
 }
 
-void membership::question_suspects()
+void membership::probe_suspects()
 {
     // A refutation may have been lost on its way here; the suspect is told of
     // the suspicion and answers with its newer incarnation.
     for (const node_id& id : this->table.suspects())
     {
-        this->send_question(id);
+        this->send_untracked_probe(id);
     }
 }
 
-void membership::question_one_dead()
+void membership::probe_one_dead()
 {
     // After a cut both sides hold each other dead; the one that is asked finds
     // a stranger and asks for its view.
@@ -183,10 +183,10 @@
         return;
     }
     std::uniform_int_distribution<std::size_t> choice(0, dead.size() - 1);
-    this->send_question(dead[choice(this->random)]);
+    this->send_untracked_probe(dead[choice(this->random)]);
 }
 
-void membership::send_question(const node_id& id)
+void membership::send_untracked_probe(const node_id& id)
 {
     membership_packet packet = this->make_packet(membership_packet_kind::probe);
     packet.sequence = this->next_sequence++;
@@ -221,25 +221,25 @@
 void membership::expire(time_point now)
 {
     for (const node_id& id :
-         this->table.suspected_for(this->options.suspicion, now))
+         this->table.suspected_for(this->options.suspicion_timeout, now))
     {
         member_record claim = this->table.find(id)->record;
         claim.node.state = node_state::dead;
         this->merge(now, claim);
     }
-    if (now < this->next_forgetting)
+    if (now < this->next_eviction)
     {
         return;
     }
-    this->next_forgetting = now + forget_interval;
-    const std::vector<node_id> forgotten =
-        this->table.forget_dead(this->options.dead_retention, now);
-    for (const node_id& id : forgotten)
+    this->next_eviction = now + eviction_interval;
+    const std::vector<node_id> evicted =
+        this->table.evict_dead(this->options.dead_retention, now);
+    for (const node_id& id : evicted)
     {
-        this->outbox.forget(id);
-        this->board.forget(id);
+        this->outbox.reset_peer(id);
+        this->board.erase_node(id);
     }
-    if (!forgotten.empty())
+    if (!evicted.empty())
     {
         this->commands.emplace_back(view_changed_command{});
     }
@@ -248,9 +248,10 @@
 void membership::announce_leaving()
 {
     this->own.leaving = true;
-    this->news.add(this->own.node.id);
+    this->updates.add(this->own.node.id);
     this->commands.emplace_back(view_changed_command{});
-    for (const node_id& target : this->pick(first_told, node_id()))
+    for (const node_id& target :
+         this->pick_random_nodes(stop_announcement_fanout, node_id()))
     {
         this->send_gossip(target);
     }
@@ -259,8 +260,9 @@
 void membership::announce_gone()
 {
     this->own.node.state = node_state::dead;
-    this->news.add(this->own.node.id);
-    for (const node_id& target : this->pick(first_told, node_id()))
+    this->updates.add(this->own.node.id);
+    for (const node_id& target :
+         this->pick_random_nodes(stop_announcement_fanout, node_id()))
     {
         this->send_gossip(target);
     }
--- a/src/decisions/membership.hpp
+++ b/src/decisions/membership.hpp
@@ -6,8 +6,8 @@
 #include "decisions/membership_command.hpp"
 #include "decisions/membership_options.hpp"
 #include "decisions/membership_packet.hpp"
-#include "decisions/news_queue.hpp"
 #include "decisions/node_info.hpp"
+#include "decisions/update_queue.hpp"
 #include "decisions/view_message.hpp"
 #include "units/random_source.hpp"
 #include "units/time.hpp"
@@ -49,15 +49,15 @@
     void publish(const std::string& topic);
 
     /// \returns The request of a full exchange.
-    view_message open_exchange() const;
+    view_message make_exchange_request() const;
 
     /// \returns The answer to the request of another node; absent for one of
     /// another region.
-    std::optional<view_message> answer_exchange(time_point now,
-                                                const view_message& request);
+    std::optional<view_message>
+    handle_exchange_request(time_point now, const view_message& request);
 
     /// Takes in the answer to a request.
-    void finish_exchange(time_point now, const view_message& answer);
+    void handle_exchange_response(time_point now, const view_message& response);
 
     /// Announces a planned stop.
     void announce_leaving();
@@ -93,29 +93,31 @@
         time_point sent;
     };
 
-    bool skip_stall(time_point now);
+    bool handle_stall(time_point now);
     void check_probes(time_point now);
     void send_probe(time_point now);
-    void question_suspects();
-    void question_one_dead();
-    void send_question(const node_id& id);
-    void ask_others(const outstanding_probe& probe, std::int64_t sequence);
+    void probe_suspects();
+    void probe_one_dead();
+    void send_untracked_probe(const node_id& id);
+    void request_indirect_probes(const outstanding_probe& probe,
+                                 std::int64_t sequence);
     void expire(time_point now);
-    void spread_news();
+    void spread_updates();
     void spread_board();
     void send_gossip(const node_id& target);
-    void seek_exchange(time_point now);
+    void start_exchange(time_point now);
     std::vector<endpoint> unknown_seeds() const;
     std::optional<endpoint> repair_target();
     std::optional<node_id> next_probe_target();
-    std::vector<node_id> pick(std::size_t count, const node_id& except);
+    std::vector<node_id> pick_random_nodes(std::size_t count,
+                                           const node_id& except);
 
-    void answer_probe(const endpoint& from, const membership_packet& packet);
-    void relay_probe(time_point now, const endpoint& from,
-                     const membership_packet& packet);
-    void receive_acknowledgement(const membership_packet& packet);
-    void meet_stranger(time_point now, const endpoint& from,
-                       const membership_packet& packet);
+    void handle_probe(const endpoint& from, const membership_packet& packet);
+    void handle_indirect_probe(time_point now, const endpoint& from,
+                               const membership_packet& packet);
+    void handle_acknowledgement(const membership_packet& packet);
+    void exchange_with_unknown_sender(time_point now, const endpoint& from,
+                                      const membership_packet& packet);
 
     void merge(time_point now, const member_record& claim);
     void merge(const board_item& item);
@@ -123,15 +125,15 @@
     void send(const endpoint& target, membership_packet packet,
               const node_id& receiver);
     membership_packet make_packet(membership_packet_kind kind) const;
-    std::size_t room_in(std::size_t used) const;
-    int transmissions() const;
+    std::size_t remaining_bytes(std::size_t used) const;
+    int transmission_limit() const;
 
     member_record own;
     membership_options options;
     random_source& random;
     gossip_board& board;
     member_table table;
-    news_queue news;
+    update_queue updates;
     board_outbox outbox;
     std::vector<endpoint> seeds;
     std::vector<membership_command> commands;
@@ -145,10 +147,10 @@
     time_point next_confirmation;
     time_point next_gossip;
     time_point next_exchange;
-    time_point next_greeting;
-    time_point next_forgetting;
-    double news_allowance = 0;
-    double board_allowance = 0;
+    time_point next_unknown_sender_exchange;
+    time_point next_eviction;
+    double update_allowance_bytes = 0;
+    double board_allowance_bytes = 0;
     int exchange_count = 0;
     bool gone = false;
 };
--- a/src/decisions/membership_options.hpp
+++ b/src/decisions/membership_options.hpp
@@ -12,18 +12,18 @@
 {
     duration probe_interval = std::chrono::milliseconds(500);
     /// Without an acknowledgement others are asked to probe.
-    duration indirect_after = std::chrono::milliseconds(300);
+    duration indirect_probe_delay = std::chrono::milliseconds(300);
     /// Without an acknowledgement the node is suspected.
-    duration suspect_after = std::chrono::seconds(1);
+    duration suspect_delay = std::chrono::seconds(1);
     int indirect_probes = 3;
     /// A suspect that does not refute for this long is dead.
-    duration suspicion = std::chrono::seconds(4);
+    duration suspicion_timeout = std::chrono::seconds(4);
     /// How often each node asks all suspects, and one node that is held dead.
     duration confirm_interval = std::chrono::seconds(1);
     duration gossip_interval = std::chrono::milliseconds(200);
     int gossip_fanout = 2;
     /// Most bytes a second that changes of members may take in datagrams.
-    double news_bytes_per_s = 6000;
+    double update_bytes_per_s = 6000;
     /// Most bytes a second that values of the board may take in datagrams.
     double board_bytes_per_s = 6000;
     /// How much unused allowance for the board is saved up.
@@ -42,7 +42,7 @@
     /// Dead nodes are remembered for this long.
     duration dead_retention = std::chrono::hours(1);
     /// A later tick than this shows that the process itself stood still.
-    duration stall = std::chrono::milliseconds(700);
+    duration stall_threshold = std::chrono::milliseconds(700);
     std::size_t packet_bytes = 1400;
 };
 
--- a/src/decisions/membership_receive.cpp
+++ b/src/decisions/membership_receive.cpp
@@ -14,7 +14,8 @@
 {
 
 constexpr std::size_t max_relayed_probes = 1024;
-constexpr duration greeting_interval = std::chrono::milliseconds(500);
+constexpr duration unknown_sender_exchange_interval =
+    std::chrono::milliseconds(500);
 
 /// \returns Whether the sender of a packet has missed what a node last said
 /// about itself.
@@ -46,40 +47,42 @@
     {
         this->merge(item);
     }
-    this->meet_stranger(now, from, packet);
+    this->exchange_with_unknown_sender(now, from, packet);
     switch (packet.kind)
     {
     case membership_packet_kind::probe:
-        this->answer_probe(from, packet);
+        this->handle_probe(from, packet);
         return;
     case membership_packet_kind::acknowledgement:
-        this->receive_acknowledgement(packet);
+        this->handle_acknowledgement(packet);
         return;
     case membership_packet_kind::indirect_probe:
-        this->relay_probe(now, from, packet);
+        this->handle_indirect_probe(now, from, packet);
         return;
     case membership_packet_kind::gossip:
         return;
     }
 }
 
-void membership::meet_stranger(time_point now, const endpoint& from,
-                               const membership_packet& packet)
+void membership::exchange_with_unknown_sender(time_point now,
+                                              const endpoint& from,
+                                              const membership_packet& packet)
 {
     const auto* known = this->table.find(packet.sender);
     const bool held_dead =
         known != nullptr && known->record.node.state == node_state::dead;
-    if ((known != nullptr && !held_dead) || now < this->next_greeting)
+    if ((known != nullptr && !held_dead) ||
+        now < this->next_unknown_sender_exchange)
     {
         return;
     }
     // It knows this node but is not known here, or held dead: the views are
     // joined at once instead of waiting for the next full exchange.
-    this->next_greeting = now + greeting_interval;
+    this->next_unknown_sender_exchange = now + unknown_sender_exchange_interval;
     this->commands.emplace_back(exchange_views_command{from});
 }
 
-void membership::answer_probe(const endpoint& from,
+void membership::handle_probe(const endpoint& from,
                               const membership_packet& packet)
 {
     // Another process may have taken the address over.
@@ -87,19 +90,19 @@
     {
         return;
     }
-    membership_packet answer =
+    membership_packet acknowledgement =
         this->make_packet(membership_packet_kind::acknowledgement);
-    answer.sequence = packet.sequence;
-    answer.subject = this->own.node.id;
+    acknowledgement.sequence = packet.sequence;
+    acknowledgement.subject = this->own.node.id;
     if (is_outdated(packet, this->own))
     {
-        answer.members.push_back(this->own);
+        acknowledgement.members.push_back(this->own);
     }
-    this->send(from, std::move(answer), packet.sender);
+    this->send(from, std::move(acknowledgement), packet.sender);
 }
 
-void membership::relay_probe(time_point now, const endpoint& from,
-                             const membership_packet& packet)
+void membership::handle_indirect_probe(time_point now, const endpoint& from,
+                                       const membership_packet& packet)
 {
     if (this->relayed.size() >= max_relayed_probes)
     {
@@ -113,7 +116,7 @@
     this->send(packet.subject_address, std::move(probe), packet.subject);
 }
 
-void membership::receive_acknowledgement(const membership_packet& packet)
+void membership::handle_acknowledgement(const membership_packet& packet)
 {
     const auto probe = this->probes.find(packet.sequence);
     if (probe != this->probes.end() && probe->second.target == packet.subject)
@@ -128,11 +131,11 @@
     }
     const relayed_probe request = relay->second;
     this->relayed.erase(relay);
-    membership_packet answer =
+    membership_packet acknowledgement =
         this->make_packet(membership_packet_kind::acknowledgement);
-    answer.sequence = request.sequence;
-    answer.subject = packet.subject;
-    this->send(request.requester, std::move(answer), node_id());
+    acknowledgement.sequence = request.sequence;
+    acknowledgement.subject = packet.subject;
+    this->send(request.requester, std::move(acknowledgement), node_id());
 }
 
 void membership::merge(time_point now, const member_record& claim)
@@ -149,11 +152,11 @@
     {
         return;
     }
-    this->news.add(claim.node.id);
+    this->updates.add(claim.node.id);
     if (claim.node.state == node_state::alive)
     {
         // A new process holds none of this node's values.
-        this->outbox.forget(claim.node.id);
+        this->outbox.reset_peer(claim.node.id);
     }
     this->commands.emplace_back(view_changed_command{});
     if (!was_dead && claim.node.state == node_state::dead)
@@ -167,7 +170,7 @@
 {
     if (item.node == this->own.node.id)
     {
-        this->board.outbid(item.version);
+        this->board.republish_above(item.version);
         return;
     }
     // Values of nodes that are not known would never be forgotten again.
@@ -191,11 +194,11 @@
         return;
     }
     this->own.node.incarnation = claim.node.incarnation.next();
-    this->news.add(node.id);
+    this->updates.add(node.id);
     this->commands.emplace_back(view_changed_command{});
 }
 
-view_message membership::open_exchange() const
+view_message membership::make_exchange_request() const
 {
     view_message message;
     message.region = this->own.node.region;
@@ -216,61 +219,63 @@
 }
 
 std::optional<view_message>
-membership::answer_exchange(time_point now, const view_message& request)
+membership::handle_exchange_request(time_point now, const view_message& request)
 {
     if (this->gone || request.region != this->own.node.region)
     {
         return std::nullopt;
     }
-    std::map<node_id, const member_record*> told;
+    std::map<node_id, const member_record*> received;
     for (const member_record& claim : request.members)
     {
         this->merge(now, claim);
-        told[claim.node.id] = &claim;
+        received[claim.node.id] = &claim;
     }
-    view_message answer;
-    answer.region = this->own.node.region;
-    answer.sender = this->own.node.id;
-    answer.members.push_back(this->own);
+    view_message response;
+    response.region = this->own.node.region;
+    response.sender = this->own.node.id;
+    response.members.push_back(this->own);
     for (const auto& [id, known] : this->table.all())
     {
-        const auto claim = told.find(id);
-        if (claim == told.end() || *claim->second != known.record)
+        const auto claim = received.find(id);
+        if (claim == received.end() || *claim->second != known.record)
         {
-            answer.members.push_back(known.record);
+            response.members.push_back(known.record);
         }
     }
-    std::map<std::pair<std::string, node_id>, std::uint64_t> held;
+    std::map<std::pair<std::string, node_id>, std::uint64_t> known_versions;
     for (const board_version& entry : request.known)
     {
-        held[{entry.topic, entry.node}] = entry.version;
+        known_versions[{entry.topic, entry.node}] = entry.version;
     }
     for (const auto& [topic, values] : this->board.all())
     {
         for (const auto& [id, value] : values)
         {
-            const auto version = held.find({topic, id});
-            if (version == held.end() || version->second < value.version)
+            const auto version = known_versions.find({topic, id});
+            if (version == known_versions.end() ||
+                version->second < value.version)
             {
-                answer.items.push_back(
+                response.items.push_back(
                     board_item{topic, id, value.version, value.value});
             }
         }
     }
-    return answer;
+    return response;
 }
 
-void membership::finish_exchange(time_point now, const view_message& answer)
+void membership::handle_exchange_response(time_point now,
+                                          const view_message& response)
 {
-    if (this->gone || answer.region != this->own.node.region)
+    if (this->gone || response.region != this->own.node.region)
     {
         return;
     }
-    for (const member_record& claim : answer.members)
+    for (const member_record& claim : response.members)
     {
         this->merge(now, claim);
     }
-    for (const board_item& item : answer.items)
+    for (const board_item& item : response.items)
     {
         this->merge(item);
     }
--- a/src/decisions/membership_send.cpp
+++ b/src/decisions/membership_send.cpp
@@ -29,22 +29,23 @@
 
 } // namespace
 
-void membership::spread_news()
+void membership::spread_updates()
 {
     const double interval_s =
         std::chrono::duration<double>(this->options.gossip_interval).count();
-    const double burst = 2 * static_cast<double>(this->options.packet_bytes);
-    this->news_allowance =
-        std::min(burst, this->news_allowance +
-                            this->options.news_bytes_per_s * interval_s);
-    if (this->news.empty())
+    const double burst_bytes =
+        2 * static_cast<double>(this->options.packet_bytes);
+    this->update_allowance_bytes = std::min(
+        burst_bytes, this->update_allowance_bytes +
+                         this->options.update_bytes_per_s * interval_s);
+    if (this->updates.empty())
     {
         return;
     }
     const auto fanout = static_cast<std::size_t>(this->options.gossip_fanout);
-    for (const node_id& target : this->pick(fanout, node_id()))
+    for (const node_id& target : this->pick_random_nodes(fanout, node_id()))
     {
-        if (this->news_allowance > 0)
+        if (this->update_allowance_bytes > 0)
         {
             this->send_gossip(target);
         }
@@ -55,18 +56,18 @@
 {
     const double interval_s =
         std::chrono::duration<double>(this->options.gossip_interval).count();
-    const double burst =
+    const double burst_bytes =
         this->options.board_bytes_per_s *
         std::chrono::duration<double>(this->options.board_burst).count();
-    this->board_allowance =
-        std::min(burst, this->board_allowance +
-                            this->options.board_bytes_per_s * interval_s);
+    this->board_allowance_bytes =
+        std::min(burst_bytes, this->board_allowance_bytes +
+                                  this->options.board_bytes_per_s * interval_s);
     const std::vector<node_id>& peers = this->table.present();
-    while (this->board_allowance > 0)
+    while (this->board_allowance_bytes > 0)
     {
         auto peer = this->outbox.next_peer(peers, board_outbox::pass::first);
         // Repetitions never take what the first sending may soon need.
-        if (!peer && this->board_allowance > burst / 2)
+        if (!peer && this->board_allowance_bytes > burst_bytes / 2)
         {
             peer = this->outbox.next_peer(peers, board_outbox::pass::second);
         }
@@ -86,7 +87,7 @@
                target);
 }
 
-void membership::seek_exchange(time_point now)
+void membership::start_exchange(time_point now)
 {
     const std::size_t present = this->table.present_count();
     duration interval = this->options.exchange_interval;
@@ -124,7 +125,7 @@
             return;
         }
     }
-    for (const node_id& target : this->pick(1, node_id()))
+    for (const node_id& target : this->pick_random_nodes(1, node_id()))
     {
         this->commands.emplace_back(
             exchange_views_command{this->table.find(target)->record.node.peer});
@@ -164,7 +165,8 @@
     return candidates[choice(this->random)];
 }
 
-std::vector<node_id> membership::pick(std::size_t count, const node_id& except)
+std::vector<node_id> membership::pick_random_nodes(std::size_t count,
+                                                   const node_id& except)
 {
     const std::vector<node_id>& candidates = this->table.present();
     std::vector<node_id> chosen;
@@ -180,9 +182,9 @@
          ++draw)
     {
         const node_id& id = candidates[choice(this->random)];
-        const bool taken =
+        const bool already_chosen =
             std::find(chosen.begin(), chosen.end(), id) != chosen.end();
-        if (id != except && !taken)
+        if (id != except && !already_chosen)
         {
             chosen.push_back(id);
         }
@@ -192,17 +194,17 @@
 
 void membership::publish(const std::string& topic)
 {
-    this->outbox.published(topic);
+    this->outbox.record_publish(topic);
 }
 
-int membership::transmissions() const
+int membership::transmission_limit() const
 {
-    constexpr int extra = 3;
-    return extra +
+    constexpr int extra_transmissions = 3;
+    return extra_transmissions +
            static_cast<int>(std::bit_width(this->table.present_count() + 1));
 }
 
-std::size_t membership::room_in(std::size_t used) const
+std::size_t membership::remaining_bytes(std::size_t used) const
 {
     return used < this->options.packet_bytes ? this->options.packet_bytes - used
                                              : 0;
@@ -223,35 +225,36 @@
     const std::size_t base = encoded_size_bound(packet);
     std::size_t used = base;
     const auto* known = this->table.find(receiver);
-    const bool doubted =
+    const bool not_alive =
         known != nullptr && known->record.node.state != node_state::alive;
-    if (doubted)
+    if (not_alive)
     {
         // It is told so, to refute it; news would be wasted on it.
         packet.members.push_back(known->record);
         used += encoded_size_bound(known->record);
     }
-    const bool dying = this->own.node.state == node_state::dead;
-    if (!doubted && (this->news_allowance > 0 || dying))
+    const bool announcing_gone = this->own.node.state == node_state::dead;
+    if (!not_alive && (this->update_allowance_bytes > 0 || announcing_gone))
     {
-        const std::size_t size = this->news.fill(
-            packet, this->own, this->room_in(used), this->transmissions());
+        const std::size_t size =
+            this->updates.fill(packet, this->own, this->remaining_bytes(used),
+                               this->transmission_limit());
         used += size;
-        this->news_allowance -= static_cast<double>(size);
+        this->update_allowance_bytes -= static_cast<double>(size);
     }
-    if (!receiver.empty() && this->board_allowance > 0)
+    if (!receiver.empty() && this->board_allowance_bytes > 0)
     {
         const std::size_t size =
-            this->outbox.fill(packet, receiver, this->room_in(used));
+            this->outbox.fill(packet, receiver, this->remaining_bytes(used));
         used += size;
-        this->board_allowance -= static_cast<double>(size);
+        this->board_allowance_bytes -= static_cast<double>(size);
     }
     if (packet.kind == membership_packet_kind::gossip)
     {
         const double overhead =
             datagram_header_bytes + static_cast<double>(base);
-        (packet.items.empty() ? this->news_allowance : this->board_allowance) -=
-            overhead;
+        (packet.items.empty() ? this->update_allowance_bytes
+                              : this->board_allowance_bytes) -= overhead;
         if (packet.members.empty() && packet.items.empty())
         {
             return;
--- a/src/decisions/node_info.hpp
+++ b/src/decisions/node_info.hpp
@@ -24,7 +24,7 @@
     /// Grows with each suspicion that the node refutes.
     incarnation_number incarnation;
     /// The incarnation with which its process started; tells its lives apart.
-    incarnation_number started_as;
+    incarnation_number start_incarnation;
 
     bool operator==(const node_info&) const = default;
 };
--- a/src/decisions/news_queue.cpp
+++ b/src/decisions/update_queue.cpp
@@ -1,4 +1,4 @@
-#include "decisions/news_queue.hpp"
+#include "decisions/update_queue.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -7,16 +7,16 @@
 namespace parsleytrack
 {
 
-news_queue::news_queue(const member_table& known) : table(known) {}
+update_queue::update_queue(const member_table& known) : table(known) {}
 
-void news_queue::add(const node_id& id)
+void update_queue::add(const node_id& id)
 {
     this->members[id] = progress{0, this->next_order++};
 }
 
-std::size_t news_queue::fill(membership_packet& packet,
-                             const member_record& own, std::size_t room,
-                             int transmissions)
+std::size_t update_queue::fill(membership_packet& packet,
+                               const member_record& own, std::size_t room,
+                               int transmissions)
 {
     std::vector<std::map<node_id, progress>::iterator> order;
     for (auto entry = this->members.begin(); entry != this->members.end();
--- a/src/decisions/news_queue.hpp
+++ b/src/decisions/update_queue.hpp
@@ -13,11 +13,11 @@
 /// Changes of members that are still to be passed on, each a bounded number
 /// of times. What has been sent least often goes first, and the newest among
 /// those.
-class news_queue
+class update_queue
 {
 public:
     /// \param known Where the records are looked up; outlives this object.
-    explicit news_queue(const member_table& known);
+    explicit update_queue(const member_table& known);
 
     /// A node's record has changed.
     void add(const node_id& id);
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -28,7 +28,7 @@
     job_id id;
     std::string route_name;
     node_id owner;
-    /// Which life of the owner; see node_info::started_as.
+    /// Which life of the owner; see node_info::start_incarnation.
     incarnation_number owner_life;
     bool cancelled = false;
     /// In the order in which results are read; only ever grows at its end.
--- a/src/peering/group_options.hpp
+++ b/src/peering/group_options.hpp
@@ -12,9 +12,9 @@
 {
     membership_options options;
     options.probe_interval = std::chrono::milliseconds(300);
-    options.indirect_after = std::chrono::milliseconds(200);
-    options.suspect_after = std::chrono::milliseconds(700);
-    options.suspicion = std::chrono::milliseconds(1500);
+    options.indirect_probe_delay = std::chrono::milliseconds(200);
+    options.suspect_delay = std::chrono::milliseconds(700);
+    options.suspicion_timeout = std::chrono::milliseconds(1500);
     options.confirm_interval = std::chrono::milliseconds(400);
     options.join_interval = std::chrono::milliseconds(300);
     options.exchange_interval = std::chrono::seconds(5);
--- a/src/peering/membership_driver.cpp
+++ b/src/peering/membership_driver.cpp
@@ -63,8 +63,8 @@
         exchange->fail(request.error());
         return;
     }
-    const auto answer =
-        this->members.answer_exchange(net::event_loop::now(), request.value());
+    const auto answer = this->members.handle_exchange_request(
+        net::event_loop::now(), request.value());
     if (answer)
     {
         exchange->finish(encode_view(*answer));
@@ -98,7 +98,8 @@
         }
         return;
     }
-    this->members.finish_exchange(net::event_loop::now(), answer.value());
+    this->members.handle_exchange_response(net::event_loop::now(),
+                                           answer.value());
     this->carry_out_commands();
 }
 
@@ -135,14 +136,15 @@
         return;
     }
     const std::int64_t number = this->next_exchange++;
-    this->exchanges[number] = this->peers.call(
-        command.target, wire::message_type::view_exchange,
-        encode_view(this->members.open_exchange()), this->exchange_timeout,
-        {{},
-         [this, number](const result<std::string>& outcome)
-         {
-             this->finish_exchange(number, outcome);
-         }});
+    this->exchanges[number] =
+        this->peers.call(command.target, wire::message_type::view_exchange,
+                         encode_view(this->members.make_exchange_request()),
+                         this->exchange_timeout,
+                         {{},
+                          [this, number](const result<std::string>& outcome)
+                          {
+                              this->finish_exchange(number, outcome);
+                          }});
 }
 
 void membership_driver::carry_out(const view_changed_command&)
--- a/src/relay/job_intake.cpp
+++ b/src/relay/job_intake.cpp
@@ -61,7 +61,7 @@
     state.id = entry->input->id;
     state.route_name = entry->input->route_name;
     state.owner = owner.id;
-    state.owner_life = owner.started_as;
+    state.owner_life = owner.start_incarnation;
     state.submitted_at_ms = entry->input->submitted_at_ms;
     state.item_count = entry->input->items.size();
     state.waiting_tokens = total_tokens(*entry->input);
--- a/src/relay/job_peers.cpp
+++ b/src/relay/job_peers.cpp
@@ -102,7 +102,7 @@
     const node_info& own = this->context.group.own();
     if (input.has_error() || state.has_error() || !this->hooks.takes_jobs() ||
         state.value().owner != own.id ||
-        state.value().owner_life != own.started_as)
+        state.value().owner_life != own.start_incarnation)
     {
         exchange->fail(error{error_code::bad_request,
                              "this node cannot take the job",
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -178,7 +178,7 @@
         return;
     }
     const node_info& own = this->context.group.own();
-    if (state.owner == own.id && state.owner_life == own.started_as)
+    if (state.owner == own.id && state.owner_life == own.start_incarnation)
     {
         this->own(jobs::owned_job(*input, state, accepted.value().revision, {}),
                   {});
--- a/src/relay/job_takeover.cpp
+++ b/src/relay/job_takeover.cpp
@@ -100,7 +100,7 @@
     }
     const node_info& own = this->context.group.own();
     if (state.value().owner == own.id &&
-        state.value().owner_life == own.started_as)
+        state.value().owner_life == own.start_incarnation)
     {
         // A write of this node whose answer was lost, or a takeover that
         // could not be finished.
@@ -130,7 +130,7 @@
     this->under_way.insert(state.id);
     const node_id previous = state.owner;
     state.owner = this->context.group.own().id;
-    state.owner_life = this->context.group.own().started_as;
+    state.owner_life = this->context.group.own().start_incarnation;
     key_value::record_transaction transaction;
     transaction.conditions = {{job_state_key(state.id), revision}};
     transaction.puts = {{job_state_key(state.id), jobs::encode(state)}};
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -50,7 +50,7 @@
     own.entry = settings.front.has_value();
     own.capacity = settings.capacity;
     own.incarnation = peering::first_incarnation();
-    own.started_as = own.incarnation;
+    own.start_incarnation = own.incarnation;
     return own;
 }
 
--- a/src/slots/broker_choice.cpp
+++ b/src/slots/broker_choice.cpp
@@ -1,7 +1,7 @@
 #include "slots/broker_choice.hpp"
 
+#include "decisions/high_capacity_nodes.hpp"
 #include "decisions/rendezvous.hpp"
-#include "decisions/strong_nodes.hpp"
 
 #include <algorithm>
 #include <cstdint>
@@ -49,7 +49,7 @@
     }
     const node_info* best = &own;
     std::uint64_t best_score = 0;
-    candidates = strong_nodes(std::move(candidates));
+    candidates = high_capacity_nodes(std::move(candidates));
     for (const node_info& node : candidates)
     {
         const std::uint64_t score = rendezvous_score(node.id.str(), pool);
--- a/tests/bench_membership/main.cpp
+++ b/tests/bench_membership/main.cpp
@@ -46,7 +46,7 @@
     {
         for (int node = 0; publishes && node < world.count(); ++node)
         {
-            if (world.runs(node) && (count + node) % steps_per_value == 0)
+            if (world.is_running(node) && (count + node) % steps_per_value == 0)
             {
                 world.publish(node, "gate",
                               static_cast<std::size_t>(FLAGS_value_bytes));
@@ -56,7 +56,7 @@
         const bool warm = count > steps / 2;
         if (publishes && warm && count % 10 == 0)
         {
-            oldest = std::max(oldest, world.oldest_value("gate"));
+            oldest = std::max(oldest, world.oldest_value_age("gate"));
         }
     }
     return oldest;
@@ -72,7 +72,7 @@
         bool believed = false;
         for (int node = 0; node < world.count(); ++node)
         {
-            believed = believed || (node != subject && world.runs(node) &&
+            believed = believed || (node != subject && world.is_running(node) &&
                                     world.belief(node, subject) == state);
         }
         if (!believed)
@@ -97,14 +97,15 @@
     const int unsettled = world.wrong_beliefs();
     world.loss = FLAGS_loss;
     world.totals = {};
-    world.busy = {};
+    world.call_time = {};
     world.calls = 0;
     world.false_deaths = 0;
     world.false_suspicions = 0;
     const duration oldest = run_with_board(world, seconds(FLAGS_measure_s));
     const auto totals = world.totals;
     const double node_seconds = 1.0 * FLAGS_nodes * FLAGS_measure_s;
-    const double busy_s = std::chrono::duration<double>(world.busy).count();
+    const double busy_s =
+        std::chrono::duration<double>(world.call_time).count();
     std::printf("nodes=%d wrong_after_start=%d\n", FLAGS_nodes, unsettled);
     std::printf("per node and second: datagrams=%.1f datagram_bytes=%.0f "
                 "exchanges=%.2f exchange_bytes=%.0f cpu_us=%.0f\n",
--- a/tests/decisions/membership_test.cpp
+++ b/tests/decisions/membership_test.cpp
@@ -79,9 +79,9 @@
     using std::chrono::seconds;
     this->table.merge(make_record("a", 1, node_state::alive, false), this->now);
     this->table.merge(make_record("a", 1, node_state::dead, false), this->now);
-    LONGS_EQUAL(0, this->table.forget_dead(seconds(10), this->now).size());
+    LONGS_EQUAL(0, this->table.evict_dead(seconds(10), this->now).size());
     const time_point later = this->now + seconds(10);
-    LONGS_EQUAL(1, this->table.forget_dead(seconds(10), later).size());
+    LONGS_EQUAL(1, this->table.evict_dead(seconds(10), later).size());
     CHECK(!this->table.merge(make_record("a", 1, node_state::dead, false),
                              later));
     LONGS_EQUAL(0, this->table.present_count());
--- a/tests/membership/heartbeat_baseline.cpp
+++ b/tests/membership/heartbeat_baseline.cpp
@@ -7,8 +7,8 @@
 
 heartbeat_baseline::outcome heartbeat_baseline::run(std::uint64_t seed,
                                                     int count, double loss,
-                                                    duration silence,
-                                                    duration before)
+                                                    duration dead_timeout,
+                                                    duration time_before_kill)
 {
     // A probe of the membership costs about as much.
     constexpr std::uint64_t heartbeat_bytes = 80;
@@ -17,7 +17,8 @@
     random_source random(seed);
     std::uniform_real_distribution<double> chance(0, 1);
     const auto size = static_cast<std::size_t>(count);
-    std::vector<std::vector<duration>> heard(size, std::vector<duration>(size));
+    std::vector<std::vector<duration>> last_heard(size,
+                                                  std::vector<duration>(size));
     std::vector<std::vector<bool>> dead(size, std::vector<bool>(size));
     outcome seen;
     std::uint64_t bytes = 0;
@@ -29,7 +30,7 @@
         detected = true;
         for (std::size_t from = 0; from < size; ++from)
         {
-            const bool killed = from == victim && now > before;
+            const bool killed = from == victim && now > time_before_kill;
             for (std::size_t to = 0; to < size; ++to)
             {
                 if (to == from)
@@ -39,18 +40,19 @@
                 bytes += killed ? 0 : heartbeat_bytes;
                 if (!killed && chance(random) >= loss)
                 {
-                    heard[to][from] = now;
+                    last_heard[to][from] = now;
                 }
-                const bool silent = now - heard[to][from] >= silence;
+                const bool timed_out =
+                    now - last_heard[to][from] >= dead_timeout;
                 seen.false_deaths +=
-                    silent && !killed && !dead[to][from] ? 1 : 0;
-                dead[to][from] = silent;
-                detected = detected && (from != victim || silent);
+                    timed_out && !killed && !dead[to][from] ? 1 : 0;
+                dead[to][from] = timed_out;
+                detected = detected && (from != victim || timed_out);
             }
         }
-        detected = detected && now > before;
+        detected = detected && now > time_before_kill;
     }
-    seen.detection = now - before;
+    seen.detection = now - time_before_kill;
     seen.bytes_per_node_and_second = static_cast<double>(bytes) / count /
                                      std::chrono::duration<double>(now).count();
     return seen;
--- a/tests/membership/heartbeat_baseline.hpp
+++ b/tests/membership/heartbeat_baseline.hpp
@@ -10,7 +10,8 @@
 {
 
 /// The naive way that the membership is compared with: every node sends a
-/// heartbeat to every other and holds dead whom it has not heard for a while.
+/// heartbeat to every other and holds dead whom it has not heard for a
+/// while.
 class heartbeat_baseline
 {
 public:
@@ -24,10 +25,10 @@
 
     /// \param count Nodes.
     /// \param loss Chance that a heartbeat is lost.
-    /// \param silence When a node is held dead.
-    /// \param before How long all live until one is killed.
+    /// \param dead_timeout When a node is held dead.
+    /// \param time_before_kill How long all live until one is killed.
     static outcome run(std::uint64_t seed, int count, double loss,
-                       duration silence, duration before);
+                       duration dead_timeout, duration time_before_kill);
 };
 
 } // namespace parsleytrack
--- a/tests/membership/joining_test.cpp
+++ b/tests/membership/joining_test.cpp
@@ -13,10 +13,10 @@
 constexpr int node_count = 9;
 /// Callers notice when nodes go on with different views for longer: each view
 /// has a broker of its own that grants all slots.
-constexpr duration patience = seconds(2);
-constexpr std::uint64_t seeds = 60;
+constexpr duration convergence_limit = seconds(2);
+constexpr std::uint64_t seed_count = 60;
 
-void start_from(membership_world& world, int first)
+void start_nodes_from(membership_world& world, int first)
 {
     for (int node = first; node < node_count; ++node)
     {
@@ -30,45 +30,45 @@
 
 TEST(joining, nodes_that_start_at_once_know_one_another_soon)
 {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed)
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
         membership_world world(seed, peering::group_options());
-        start_from(world, 0);
-        world.run_for(patience);
+        start_nodes_from(world, 0);
+        world.run_for(convergence_limit);
         LONGS_EQUAL(0, world.wrong_beliefs());
     }
 }
 
 TEST(joining, a_restart_of_all_with_a_seed_that_is_gone_ends_in_one_view)
 {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed)
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
         membership_world world(seed, peering::group_options());
-        start_from(world, 0);
+        start_nodes_from(world, 0);
         world.run_for(seconds(20));
         for (int node = 0; node < node_count; ++node)
         {
             world.kill(node);
         }
         world.run_for(seconds(1));
-        start_from(world, 1);
-        world.run_for(patience);
+        start_nodes_from(world, 1);
+        world.run_for(convergence_limit);
         LONGS_EQUAL(0, world.wrong_beliefs());
     }
 }
 
 TEST(joining, a_healed_cut_between_halves_is_forgotten_soon)
 {
-    for (std::uint64_t seed = 1; seed <= seeds; ++seed)
+    for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
         membership_world world(seed, peering::group_options());
-        start_from(world, 0);
+        start_nodes_from(world, 0);
         world.run_for(seconds(10));
-        world.cut([](int node) { return node % 2; });
+        world.partition([](int node) { return node % 2; });
         world.run_for(seconds(8));
         CHECK(world.belief(0, 1) == node_state::dead);
         world.heal();
-        world.run_for(patience);
+        world.run_for(convergence_limit);
         LONGS_EQUAL(0, world.wrong_beliefs());
     }
 }
--- a/tests/membership/membership_world.cpp
+++ b/tests/membership/membership_world.cpp
@@ -15,10 +15,10 @@
 
 constexpr duration tick_interval = std::chrono::milliseconds(100);
 constexpr std::uint64_t datagram_header_bytes = 28;
-constexpr std::size_t max_held_messages = 500;
+constexpr std::size_t max_deferred_actions = 500;
 constexpr std::uint16_t first_port = 1000;
 /// The wall clock's microseconds when a run begins.
-constexpr std::int64_t first_clock = 1'000'000'000;
+constexpr std::int64_t first_clock_us = 1'000'000'000;
 
 std::uint64_t size_of(const view_message& view)
 {
@@ -62,14 +62,14 @@
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
     if (port != 0)
     {
-        this->by_port.erase(slot.port);
+        this->node_by_port.erase(slot.port);
         slot.port = port;
     }
-    this->by_port[slot.port] = node;
+    this->node_by_port[slot.port] = node;
     ++slot.generation;
     slot.frozen = false;
     slot.leaving = false;
-    slot.held.clear();
+    slot.deferred.clear();
     node_info own;
     own.id = name_of(node);
     own.peer = endpoint{"10.0.0.1", slot.port};
@@ -79,7 +79,7 @@
         availability_zone_name("qc-east-" + std::to_string(node % 3));
     const std::int64_t clock =
         (this->time + this->clock_error).time_since_epoch().count() +
-        first_clock;
+        first_clock_us;
     own.incarnation = incarnation_number(clock);
     slot.running = std::make_unique<process>(own, this->options, this->random,
                                              static_cast<std::uint64_t>(clock));
@@ -107,7 +107,8 @@
     const std::int64_t generation = slot.generation;
     const duration phase(static_cast<std::int64_t>(
         this->random() % static_cast<std::uint64_t>(tick_interval.count())));
-    this->at(phase, [this, node, generation] { this->tick(node, generation); });
+    this->schedule(phase,
+                   [this, node, generation] { this->tick(node, generation); });
 }
 
 void membership_world::kill(int node)
@@ -130,9 +131,9 @@
     if (slot.running)
     {
         slot.running->members.tick(this->time);
-        this->carry_out(node);
+        this->execute_commands(node);
     }
-    for (const auto& action : std::exchange(slot.held, {}))
+    for (const auto& action : std::exchange(slot.deferred, {}))
     {
         action();
     }
@@ -143,7 +144,7 @@
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
     slot.leaving = true;
     slot.running->members.announce_leaving();
-    this->carry_out(node);
+    this->execute_commands(node);
 }
 
 void membership_world::run_for(duration span)
@@ -169,14 +170,14 @@
     this->published[{node, topic}].try_emplace(version, this->time);
 }
 
-void membership_world::at(duration after, std::function<void()> action)
+void membership_world::schedule(duration after, std::function<void()> action)
 {
     this->events.push(
         event{this->time + after, this->next_order++, std::move(action)});
 }
 
-void membership_world::on_node(int node, std::int64_t generation,
-                               std::function<void()> action)
+void membership_world::run_on_node(int node, std::int64_t generation,
+                                   std::function<void()> action)
 {
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
     if (slot.generation != generation || !slot.running)
@@ -185,22 +186,23 @@
     }
     if (slot.frozen)
     {
-        if (slot.held.size() < max_held_messages)
+        if (slot.deferred.size() < max_deferred_actions)
         {
-            slot.held.push_back([this, node, generation, action]
-                                { this->on_node(node, generation, action); });
+            slot.deferred.push_back(
+                [this, node, generation, action]
+                { this->run_on_node(node, generation, action); });
         }
         return;
     }
-    this->measured(action);
-    this->carry_out(node);
+    this->run_measured(action);
+    this->execute_commands(node);
 }
 
-void membership_world::measured(const std::function<void()>& action)
+void membership_world::run_measured(const std::function<void()>& action)
 {
     const auto start = std::chrono::steady_clock::now();
     action();
-    this->busy += std::chrono::steady_clock::now() - start;
+    this->call_time += std::chrono::steady_clock::now() - start;
     ++this->calls;
 }
 
@@ -213,12 +215,12 @@
     }
     if (!slot.frozen)
     {
-        this->measured([this, &slot]
-                       { slot.running->members.tick(this->time); });
-        this->carry_out(node);
+        this->run_measured([this, &slot]
+                           { slot.running->members.tick(this->time); });
+        this->execute_commands(node);
     }
-    this->at(tick_interval,
-             [this, node, generation] { this->tick(node, generation); });
+    this->schedule(tick_interval,
+                   [this, node, generation] { this->tick(node, generation); });
 }
 
 duration membership_world::draw_delay()
@@ -232,28 +234,29 @@
                                 double chance_of_loss,
                                 std::function<void(int)> action)
 {
-    const auto receiver = this->by_port.find(target.port);
+    const auto receiver = this->node_by_port.find(target.port);
     std::uniform_real_distribution<double> chance(0, 1);
-    if (receiver == this->by_port.end() ||
+    if (receiver == this->node_by_port.end() ||
         chance(this->random) < chance_of_loss)
     {
         return;
     }
     const int to = receiver->second;
-    if (this->group && this->group(from) != this->group(to))
+    if (this->group_of && this->group_of(from) != this->group_of(to))
     {
         return;
     }
-    this->at(this->draw_delay(),
-             [this, to, action]
-             {
-                 const auto& slot = this->nodes[static_cast<std::size_t>(to)];
-                 this->on_node(to, slot.generation,
-                               [to, action] { action(to); });
-             });
+    this->schedule(this->draw_delay(),
+                   [this, to, action]
+                   {
+                       const auto& slot =
+                           this->nodes[static_cast<std::size_t>(to)];
+                       this->run_on_node(to, slot.generation,
+                                         [to, action] { action(to); });
+                   });
 }
 
-void membership_world::carry_out(int node)
+void membership_world::execute_commands(int node)
 {
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
     const endpoint from{"10.0.0.1", slot.port};
@@ -290,7 +293,7 @@
 void membership_world::exchange(int node, const endpoint& target)
 {
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
-    const view_message request = slot.running->members.open_exchange();
+    const view_message request = slot.running->members.make_exchange_request();
     const endpoint from{"10.0.0.1", slot.port};
     ++this->totals.exchanges;
     this->totals.exchange_bytes += size_of(request);
@@ -299,19 +302,19 @@
         [this, request, from](int to)
         {
             process& other = *this->nodes[static_cast<std::size_t>(to)].running;
-            const auto answer =
-                other.members.answer_exchange(this->time, request);
-            if (!answer)
+            const auto response =
+                other.members.handle_exchange_request(this->time, request);
+            if (!response)
             {
                 return;
             }
-            this->totals.exchange_bytes += size_of(*answer);
+            this->totals.exchange_bytes += size_of(*response);
             this->transmit(to, from, 0,
-                           [this, answer](int back)
+                           [this, response](int back)
                            {
                                this->nodes[static_cast<std::size_t>(back)]
-                                   .running->members.finish_exchange(this->time,
-                                                                     *answer);
+                                   .running->members.handle_exchange_response(
+                                       this->time, *response);
                            });
         });
 }
@@ -336,7 +339,7 @@
                           info.incarnation == old.incarnation;
         check_invariant(!back, "a leaving node never becomes alive again");
         const int subject = std::stoi(info.id.str().substr(6)) - 1000;
-        if (old.state != info.state && this->runs(subject))
+        if (old.state != info.state && this->is_running(subject))
         {
             this->false_deaths += info.state == node_state::dead ? 1 : 0;
             this->false_suspicions += info.state == node_state::suspect ? 1 : 0;
--- a/tests/membership/membership_world.hpp
+++ b/tests/membership/membership_world.hpp
@@ -42,23 +42,26 @@
     void leave(int node);
 
     /// Packets between nodes of different groups are lost.
-    void cut(std::function<int(int)> group_of) { this->group = group_of; }
-    void heal() { this->group = nullptr; }
+    void partition(std::function<int(int)> grouping)
+    {
+        this->group_of = grouping;
+    }
+    void heal() { this->group_of = nullptr; }
 
     void run_for(duration span);
     void publish(int node, const std::string& topic, std::size_t size);
 
-    bool runs(int node) const;
+    bool is_running(int node) const;
     /// \returns What one node believes of another; dead when not known.
     node_state belief(int observer, int subject) const;
     /// \returns How many pairs of running nodes believe something wrong.
     int wrong_beliefs() const;
     /// \returns Oldest value among those that running nodes hold of a topic
     /// of each other; the largest duration where one is missing.
-    duration oldest_value(const std::string& topic) const;
+    duration oldest_value_age(const std::string& topic) const;
 
     /// \returns When the value that an observer holds was published.
-    time_point newest_value_of(int observer, int publisher,
+    time_point publish_time_of(int observer, int publisher,
                                const std::string& topic) const;
 
     int count() const { return static_cast<int>(this->nodes.size()); }
@@ -72,7 +75,7 @@
     duration jitter = std::chrono::milliseconds(1);
     traffic totals;
     /// Processor time in the state machines, and their calls.
-    std::chrono::nanoseconds busy = std::chrono::nanoseconds::zero();
+    std::chrono::nanoseconds call_time = std::chrono::nanoseconds::zero();
     std::uint64_t calls = 0;
     /// Times that a node was held dead by another while it ran.
     int false_deaths = 0;
@@ -101,7 +104,7 @@
         bool frozen = false;
         bool leaving = false;
         std::int64_t generation = 0;
-        std::vector<std::function<void()>> held;
+        std::vector<std::function<void()>> deferred;
     };
     struct event
     {
@@ -116,15 +119,15 @@
     };
 
     static node_id name_of(int node);
-    void at(duration delay, std::function<void()> action);
+    void schedule(duration delay, std::function<void()> action);
     void tick(int node, std::int64_t generation);
     /// Runs an action on a node, after a thaw when it is frozen.
-    void on_node(int node, std::int64_t generation,
-                 std::function<void()> action);
+    void run_on_node(int node, std::int64_t generation,
+                     std::function<void()> action);
     void transmit(int from, const endpoint& target, double chance_of_loss,
                   std::function<void(int)> action);
-    void measured(const std::function<void()>& action);
-    void carry_out(int node);
+    void run_measured(const std::function<void()>& action);
+    void execute_commands(int node);
     void exchange(int node, const endpoint& target);
     void check_view(int node);
     duration draw_delay();
@@ -133,10 +136,10 @@
     random_source random;
     time_point time;
     std::vector<node_slot> nodes;
-    std::map<std::uint16_t, int> by_port;
+    std::map<std::uint16_t, int> node_by_port;
     std::priority_queue<event> events;
     std::uint64_t next_order = 0;
-    std::function<int(int)> group;
+    std::function<int(int)> group_of;
     std::map<std::pair<int, std::string>, std::map<std::uint64_t, time_point>>
         published;
 };
--- a/tests/membership/membership_world_view.cpp
+++ b/tests/membership/membership_world_view.cpp
@@ -7,7 +7,7 @@
 namespace parsleytrack
 {
 
-bool membership_world::runs(int node) const
+bool membership_world::is_running(int node) const
 {
     return this->nodes[static_cast<std::size_t>(node)].running != nullptr;
 }
@@ -27,12 +27,12 @@
     {
         for (int subject = 0; subject < this->count(); ++subject)
         {
-            if (!this->runs(observer) || observer == subject)
+            if (!this->is_running(observer) || observer == subject)
             {
                 continue;
             }
             node_state truth = node_state::dead;
-            if (this->runs(subject))
+            if (this->is_running(subject))
             {
                 const auto index = static_cast<std::size_t>(subject);
                 truth = this->nodes[index].leaving ? node_state::leaving
@@ -44,14 +44,14 @@
     return wrong;
 }
 
-duration membership_world::oldest_value(const std::string& topic) const
+duration membership_world::oldest_value_age(const std::string& topic) const
 {
     duration oldest = duration::zero();
     for (const node_slot& slot : this->nodes)
     {
         for (int other = 0; slot.running && other < this->count(); ++other)
         {
-            if (!this->runs(other))
+            if (!this->is_running(other))
             {
                 continue;
             }
@@ -69,7 +69,7 @@
     return oldest;
 }
 
-time_point membership_world::newest_value_of(int observer, int publisher,
+time_point membership_world::publish_time_of(int observer, int publisher,
                                              const std::string& topic) const
 {
     const auto& running =
--- a/tests/membership/randomised_test.cpp
+++ b/tests/membership/randomised_test.cpp
@@ -79,7 +79,7 @@
     membership_world world(4, membership_options());
     start_all(world, 60);
     world.run_for(seconds(20));
-    world.cut([](int node) { return node % 3 == 0 ? 1 : 0; });
+    world.partition([](int node) { return node % 3 == 0 ? 1 : 0; });
     world.run_for(seconds(90));
     CHECK(world.belief(0, 1) == node_state::dead);
     CHECK(world.belief(1, 0) == node_state::dead);
@@ -171,13 +171,14 @@
                 world.start(node);
                 break;
             case 4:
-                world.cut([step](int other) { return (other * 7 + step) % 3; });
+                world.partition([step](int other)
+                                { return (other * 7 + step) % 3; });
                 break;
             default:
                 world.heal();
                 break;
             }
-            if (world.runs(node))
+            if (world.is_running(node))
             {
                 world.publish(node, "gate", 150);
             }
@@ -188,7 +189,7 @@
         for (int node = 0; node < count; ++node)
         {
             world.thaw(node);
-            if (!world.runs(node))
+            if (!world.is_running(node))
             {
                 world.start(node);
             }
@@ -233,5 +234,5 @@
     const time_point published = world.now();
     world.run_for(seconds(60));
     LONGS_EQUAL(0, world.wrong_beliefs());
-    CHECK(world.newest_value_of(1, 4, "gate") >= published);
+    CHECK(world.publish_time_of(1, 4, "gate") >= published);
 }
--- a/tests/relay/job_placement_test.cpp
+++ b/tests/relay/job_placement_test.cpp
@@ -14,7 +14,7 @@
     {
         this->owner.id = node_id("a");
         this->owner.incarnation = incarnation_number(1000);
-        this->owner.started_as = incarnation_number(1000);
+        this->owner.start_incarnation = incarnation_number(1000);
         this->state.owner = this->owner.id;
         this->state.owner_life = incarnation_number(1000);
     }
@@ -36,7 +36,7 @@
 TEST(job_placement, a_restarted_owner_has_lost_its_job)
 {
     this->owner.incarnation = incarnation_number(5000);
-    this->owner.started_as = incarnation_number(5000);
+    this->owner.start_incarnation = incarnation_number(5000);
     CHECK(is_owner_gone(this->owner, this->state));
 }
 
