--- a/src/relay/address_question.hpp
+++ b/src/relay/address_request.hpp
@@ -11,7 +11,7 @@
 {
 
 /// A caller's question which addresses to use.
-struct address_question
+struct address_request
 {
     std::string host;
     region_name region;
@@ -19,7 +19,7 @@
 };
 
 /// The answer to it.
-struct address_answer
+struct address_response
 {
     std::vector<endpoint> addresses;
     /// How long the caller may keep the answer.
--- a/src/relay/address_service.cpp
+++ b/src/relay/address_service.cpp
@@ -19,17 +19,17 @@
 
 address_service::address_service(const relay_context& node) : context(node) {}
 
-void address_service::answer(
+void address_service::respond(
     const std::shared_ptr<net::http_exchange>& exchange,
-    const address_question& question)
+    const address_request& request)
 {
     std::vector<node_info> nodes = this->context.group.living();
     std::erase_if(nodes, [](const node_info& node) { return !node.entry; });
     std::shuffle(nodes.begin(), nodes.end(), this->context.random);
     std::stable_partition(
         nodes.begin(), nodes.end(),
-        [&question](const node_info& node)
-        { return node.availability_zone == question.availability_zone; });
+        [&request](const node_info& node)
+        { return node.availability_zone == request.availability_zone; });
     nodes.resize(std::min(nodes.size(), max_addresses));
     if (nodes.empty())
     {
@@ -37,18 +37,18 @@
                                 ran_state::no, std::chrono::seconds(1)});
         return;
     }
-    address_answer answer;
-    answer.validity = this->context.settings.address_validity;
+    address_response response;
+    response.validity = this->context.settings.address_validity;
     for (const node_info& node : nodes)
     {
-        answer.addresses.push_back(node.http);
+        response.addresses.push_back(node.http);
     }
     log_event(log_level::debug, "addresses_given",
-              {{"host", question.host},
-               {"zone", question.availability_zone.str()},
-               {"count", answer.addresses.size()}});
-    exchange->respond_json(200,
-                           this->context.dialect.write_address_answer(answer));
+              {{"host", request.host},
+               {"zone", request.availability_zone.str()},
+               {"count", response.addresses.size()}});
+    exchange->respond_json(
+        200, this->context.dialect.write_address_response(response));
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/address_service.hpp
+++ b/src/relay/address_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "net/http_exchange.hpp"
-#include "relay/address_question.hpp"
+#include "relay/address_request.hpp"
 #include "relay/relay_context.hpp"
 
 #include <memory>
@@ -16,8 +16,8 @@
     /// \param node Outlives this object.
     explicit address_service(const relay_context& node);
 
-    void answer(const std::shared_ptr<net::http_exchange>& exchange,
-                const address_question& question);
+    void respond(const std::shared_ptr<net::http_exchange>& exchange,
+                 const address_request& request);
 
 private:
     const relay_context& context;
--- a/src/relay/caller_age.hpp
+++ b/src/relay/caller_wait_estimator.hpp
@@ -11,15 +11,16 @@
 /// Tells from the time that a caller has left how long ago it asked first.
 /// Callers of one route start with the same time; who has less has asked
 /// another node before.
-class caller_age
+class caller_wait_estimator
 {
 public:
     /// \param route The route's name.
-    /// \param time_left What the caller says.
+    /// \param remaining_time What the caller says.
     /// \param now When its request came.
     /// \returns How long before this request the caller asked first; zero for
     /// a first request.
-    duration note(const std::string& route, duration time_left, time_point now);
+    duration estimate(const std::string& route, duration remaining_time,
+                      time_point now);
 
 private:
     struct route_times
--- a/src/relay/configuration_follower.cpp
+++ b/src/relay/configuration_follower.cpp
@@ -16,7 +16,7 @@
                translator.keys().configuration, duration::zero(),
                key_value::record_follower::each_record(
                    [this](const key_value::stored_record& record)
-                   { this->take(record); }))
+                   { this->apply_record(record); }))
 {
 }
 
@@ -30,7 +30,8 @@
     this->change_callbacks.push_back(std::move(callback));
 }
 
-void configuration_follower::take(const key_value::stored_record& record)
+void configuration_follower::apply_record(
+    const key_value::stored_record& record)
 {
     if (record.key != this->dialect.keys().configuration)
     {
--- a/src/relay/configuration_follower.hpp
+++ b/src/relay/configuration_follower.hpp
@@ -36,7 +36,7 @@
     void on_change(std::function<void()> callback);
 
 private:
-    void take(const key_value::stored_record& record);
+    void apply_record(const key_value::stored_record& record);
 
     const relay_dialect& dialect;
     key_value::record_follower follower;
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -30,7 +30,7 @@
     return line;
 }
 
-stream_event read_event(std::string raw)
+stream_event parse_event(std::string raw)
 {
     stream_event event;
     bool has_data = false;
@@ -64,19 +64,19 @@
 
 } // namespace
 
-std::vector<stream_event> event_splitter::feed(std::string_view piece)
+std::vector<stream_event> event_splitter::feed(std::string_view chunk)
 {
     // The end of an event may be split between two pieces.
-    const std::size_t searched =
+    const std::size_t search_from =
         this->pending.empty() ? 0 : this->pending.size() - 1;
-    this->pending += piece;
+    this->pending += chunk;
     std::vector<stream_event> events;
     std::size_t begin = 0;
-    std::size_t end = this->pending.find(event_end, searched);
+    std::size_t end = this->pending.find(event_end, search_from);
     while (end != std::string::npos)
     {
         end += event_end.size();
-        events.push_back(read_event(this->pending.substr(begin, end - begin)));
+        events.push_back(parse_event(this->pending.substr(begin, end - begin)));
         begin = end;
         end = this->pending.find(event_end, begin);
     }
@@ -84,10 +84,10 @@
     return events;
 }
 
-std::vector<stream_event> event_splitter::feed_new(std::string_view piece,
+std::vector<stream_event> event_splitter::feed_new(std::string_view chunk,
                                                    std::int64_t& last_event)
 {
-    std::vector<stream_event> events = this->feed(piece);
+    std::vector<stream_event> events = this->feed(chunk);
     std::erase_if(events,
                   [&last_event](const stream_event& event)
                   {
@@ -95,9 +95,9 @@
                       {
                           return false;
                       }
-                      const bool is_known = *event.number <= last_event;
+                      const bool is_duplicate = *event.number <= last_event;
                       last_event = std::max(last_event, *event.number);
-                      return is_known;
+                      return is_duplicate;
                   });
     return events;
 }
--- a/src/relay/event_splitter.hpp
+++ b/src/relay/event_splitter.hpp
@@ -19,13 +19,13 @@
 
     /// \param piece What follows what was fed before.
     /// \returns The events that are complete now.
-    std::vector<stream_event> feed(std::string_view piece);
+    std::vector<stream_event> feed(std::string_view chunk);
 
     /// The same, without the events that came before.
     ///
     /// \param last_event Number of the last event that is known; goes up with
     /// those that are returned.
-    std::vector<stream_event> feed_new(std::string_view piece,
+    std::vector<stream_event> feed_new(std::string_view chunk,
                                        std::int64_t& last_event);
 
     /// \returns Whether part of an event has been fed without its end.
--- a/src/relay/header_names.hpp
+++ b/src/relay/header_names.hpp
@@ -12,7 +12,7 @@
     /// The caller's name for the request; unique for each of its attempts.
     std::string request_id;
     /// How many milliseconds the caller, or the sender, will still wait.
-    std::string time_left_ms;
+    std::string remaining_time_ms;
     /// The replica that the request is meant for.
     std::string expected_replica;
     /// The last event that has been received of a resumed stream.
--- a/src/relay/hop_headers.cpp
+++ b/src/relay/hop_headers.cpp
@@ -12,20 +12,22 @@
 namespace
 {
 
-constexpr std::array<const char*, 11> hop_fields = {"Connection",
-                                                    "Keep-Alive",
-                                                    "Proxy-Authenticate",
-                                                    "Proxy-Authorization",
-                                                    "Proxy-Connection",
-                                                    "TE",
-                                                    "Trailer",
-                                                    "Transfer-Encoding",
-                                                    "Upgrade",
-                                                    "Content-Length",
-                                                    "Expect"};
+constexpr std::array<const char*, 11> hop_by_hop_fields = {
+    "Connection",
+    "Keep-Alive",
+    "Proxy-Authenticate",
+    "Proxy-Authorization",
+    "Proxy-Connection",
+    "TE",
+    "Trailer",
+    "Transfer-Encoding",
+    "Upgrade",
+    "Content-Length",
+    "Expect"};
 
 /// \returns Whether a Connection field names the field as one of its own.
-bool is_named(const std::string* connection, const std::string& field)
+bool is_listed_in_connection(const std::string* connection,
+                             const std::string& field)
 {
     if (connection == nullptr)
     {
@@ -47,11 +49,11 @@
     net::http_header_list kept;
     for (const auto& field : headers)
     {
-        const bool is_hop =
-            std::any_of(hop_fields.begin(), hop_fields.end(),
+        const bool is_hop_by_hop =
+            std::any_of(hop_by_hop_fields.begin(), hop_by_hop_fields.end(),
                         [&field](const char* name)
                         { return strcasecmp(name, field.first.c_str()) == 0; });
-        if (!is_hop && !is_named(connection, field.first))
+        if (!is_hop_by_hop && !is_listed_in_connection(connection, field.first))
         {
             kept.push_back(field);
         }
--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -80,11 +80,11 @@
     {
         this->status = head.status;
     };
-    hooks.on_piece = [this](std::string_view piece)
+    hooks.on_chunk = [this](std::string_view piece)
     {
         this->take_piece(piece);
     };
-    hooks.on_end = [this](replica_verdict verdict,
+    hooks.on_end = [this](attempt_outcome verdict,
                           const net::http_response& response,
                           const std::string& reason)
     {
@@ -118,15 +118,15 @@
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->give_up("an event has no end");
+        this->attempt->abort("an event has no end");
     }
 }
 
-void item_run::take_end(replica_verdict verdict,
+void item_run::take_end(attempt_outcome verdict,
                         const net::http_response& response,
                         const std::string& reason)
 {
-    const bool whole = verdict == replica_verdict::answered;
+    const bool whole = verdict == attempt_outcome::answered;
     if (whole && response.status == status_ok &&
         !this->splitter.has_partial_event() && this->progress.last_event > 0)
     {
--- a/src/relay/item_run.hpp
+++ b/src/relay/item_run.hpp
@@ -56,7 +56,7 @@
 private:
     void send(const replica_id& replica);
     void take_piece(std::string_view piece);
-    void take_end(replica_verdict verdict, const net::http_response& response,
+    void take_end(attempt_outcome verdict, const net::http_response& response,
                   const std::string& reason);
     void finish(item_end end, const std::string& reason);
 
--- a/src/relay/job_cancellation.cpp
+++ b/src/relay/job_cancellation.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 job_cancellation::job_cancellation(const relay_context& node,
-                                   usage_book& usages_of_routes)
+                                   usage_tracker& usages_of_routes)
     : context(node), usages(usages_of_routes)
 {
 }
@@ -68,7 +68,7 @@
 void job_cancellation::write(jobs::job_state state, store_revision revision,
                              int attempt, end_callback callback)
 {
-    const usage_book::usage usage = this->usages.get(state.route_name);
+    const usage_tracker::usage usage = this->usages.get(state.route_name);
     const token_count left =
         std::max(token_count(0), usage.waiting - state.waiting_tokens);
     state.cancelled = true;
@@ -98,7 +98,7 @@
                 callback(state);
                 return;
             }
-            this->usages.take_from(state.route_name, outcome.value().current);
+            this->usages.update_from(state.route_name, outcome.value().current);
             if (attempt >= max_attempts)
             {
                 callback(error{error_code::store_unavailable,
--- a/src/relay/job_cancellation.hpp
+++ b/src/relay/job_cancellation.hpp
@@ -2,7 +2,7 @@
 
 #include "jobs/job_state.hpp"
 #include "relay/relay_context.hpp"
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 #include "units/result.hpp"
 
 #include <functional>
@@ -21,7 +21,7 @@
 
     /// \param node Outlives this object.
     /// \param usages Outlives this object.
-    job_cancellation(const relay_context& node, usage_book& usages);
+    job_cancellation(const relay_context& node, usage_tracker& usages);
 
     void cancel(const job_id& job, end_callback callback);
 
@@ -31,7 +31,7 @@
                end_callback callback);
 
     const relay_context& context;
-    usage_book& usages;
+    usage_tracker& usages;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_intake.cpp
+++ b/src/relay/job_intake.cpp
@@ -43,7 +43,8 @@
     accept_callback callback;
 };
 
-job_intake::job_intake(const relay_context& node, usage_book& usages_of_routes)
+job_intake::job_intake(const relay_context& node,
+                       usage_tracker& usages_of_routes)
     : context(node), usages(usages_of_routes)
 {
 }
@@ -71,7 +72,7 @@
 void job_intake::write(const std::shared_ptr<submission>& entry)
 {
     const jobs::job_state& state = entry->state;
-    const usage_book::usage usage = this->usages.get(state.route_name);
+    const usage_tracker::usage usage = this->usages.get(state.route_name);
     entry->waiting = usage.waiting + state.waiting_tokens;
     if (entry->limit > token_count(0) && entry->waiting > entry->limit)
     {
@@ -115,7 +116,7 @@
         entry->callback(accepted_job{entry->state, revision, false});
         return;
     }
-    if (this->usages.take_from(route, outcome.value().current))
+    if (this->usages.update_from(route, outcome.value().current))
     {
         entry->usage_is_fresh = true;
     }
@@ -161,7 +162,7 @@
                 entry->callback(reason);
                 return;
             }
-            this->usages.take(entry->state.route_name, record.value());
+            this->usages.update(entry->state.route_name, record.value());
             entry->usage_is_fresh = true;
             this->write(entry);
         });
--- a/src/relay/job_intake.hpp
+++ b/src/relay/job_intake.hpp
@@ -3,7 +3,7 @@
 #include "jobs/job_input.hpp"
 #include "jobs/job_state.hpp"
 #include "relay/relay_context.hpp"
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 #include "units/result.hpp"
 
 #include <functional>
@@ -30,7 +30,7 @@
 
     /// \param node Outlives this object.
     /// \param usages Outlives this object.
-    job_intake(const relay_context& node, usage_book& usages);
+    job_intake(const relay_context& node, usage_tracker& usages);
 
     /// Accepts a job, or finds that it has been accepted before.
     ///
@@ -53,7 +53,7 @@
                            token_count waiting);
 
     const relay_context& context;
-    usage_book& usages;
+    usage_tracker& usages;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_owner.cpp
+++ b/src/relay/job_owner.cpp
@@ -45,7 +45,7 @@
 } // namespace
 
 job_owner::job_owner(const relay_context& node, slot_client& slot_source,
-                     usage_book& usages_of_routes, jobs::owned_job owned_job,
+                     usage_tracker& usages_of_routes, jobs::owned_job owned_job,
                      jobs::job_progress known, std::function<void()> on_lost)
     : context(node), slots(slot_source), usages(usages_of_routes),
       owned(std::move(owned_job)), lost_callback(std::move(on_lost)),
@@ -223,7 +223,7 @@
 void job_owner::commit()
 {
     this->commit_is_planned = false;
-    const usage_book::usage usage =
+    const usage_tracker::usage usage =
         this->usages.get(this->owned.input().route_name);
     auto commit = this->owned.begin_commit(this->must_release(usage.waiting));
     if (!commit)
@@ -233,7 +233,7 @@
     const token_count left =
         std::max(token_count(0), usage.waiting - commit->released_tokens);
     auto transaction =
-        transaction_of(*commit, usage_book::usage{left, usage.revision});
+        transaction_of(*commit, usage_tracker::usage{left, usage.revision});
     this->progress.add_to(transaction, net::event_loop::now());
     this->context.store.commit(
         std::move(transaction), commit_limit,
@@ -309,7 +309,7 @@
 void job_owner::resolve_conflict(const jobs::job_commit& commit,
                                  const key_value::transaction_outcome& outcome)
 {
-    this->usages.take_from(commit.state.route_name, outcome.current);
+    this->usages.update_from(commit.state.route_name, outcome.current);
     for (const key_value::stored_record& record : outcome.current)
     {
         if (record.key != job_state_key(commit.state.id) ||
--- a/src/relay/job_owner.hpp
+++ b/src/relay/job_owner.hpp
@@ -6,7 +6,7 @@
 #include "relay/progress_record.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/slot_client.hpp"
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 
 #include <functional>
 #include <map>
@@ -28,7 +28,7 @@
     /// \param on_lost Called when another node has taken the job over; may
     /// destroy this object after the callback has returned.
     job_owner(const relay_context& node, slot_client& slot_source,
-              usage_book& usages, jobs::owned_job owned,
+              usage_tracker& usages, jobs::owned_job owned,
               jobs::job_progress known, std::function<void()> on_lost);
     ~job_owner();
     job_owner(const job_owner&) = delete;
@@ -75,7 +75,7 @@
 
     const relay_context& context;
     slot_client& slots;
-    usage_book& usages;
+    usage_tracker& usages;
     jobs::owned_job owned;
     std::function<void()> lost_callback;
     progress_record progress;
--- a/src/relay/job_service.hpp
+++ b/src/relay/job_service.hpp
@@ -11,7 +11,7 @@
 #include "relay/job_takeover.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/slot_client.hpp"
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 
 #include <map>
 #include <memory>
@@ -65,7 +65,7 @@
 
     const relay_context& context;
     slot_client& slots;
-    usage_book usages;
+    usage_tracker usages;
     job_intake intake;
     job_reader reader;
     job_cancellation cancellation;
--- a/src/relay/job_transaction.cpp
+++ b/src/relay/job_transaction.cpp
@@ -7,7 +7,7 @@
 {
 
 key_value::record_transaction transaction_of(const jobs::job_commit& commit,
-                                             usage_book::usage usage)
+                                             usage_tracker::usage usage)
 {
     const job_id& job = commit.state.id;
     const std::string usage_key = job_usage_key(commit.state.route_name);
--- a/src/relay/job_transaction.hpp
+++ b/src/relay/job_transaction.hpp
@@ -2,7 +2,7 @@
 
 #include "jobs/job_commit.hpp"
 #include "key_value/record_transaction.hpp"
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 
 namespace parsleytrack::relay
 {
@@ -12,6 +12,6 @@
 /// must still have.
 /// \returns The transaction.
 key_value::record_transaction transaction_of(const jobs::job_commit& commit,
-                                             usage_book::usage usage);
+                                             usage_tracker::usage usage);
 
 } // namespace parsleytrack::relay
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -17,10 +17,10 @@
 
 /// Share of the target latency that is kept for the replica's own work when
 /// it is judged whether an answer can still be on time.
-constexpr int replica_share = 4;
+constexpr int replica_time_divisor = 4;
 /// A replica that gives no sign for so long is held to be silent, if another
 /// one may take over. Twice the longest pause between events that is on time.
-constexpr duration silence_timeout = std::chrono::milliseconds(600);
+constexpr duration unresponsive_timeout = std::chrono::milliseconds(600);
 /// Most replicas that are tried for one request, the ones that did not run it
 /// included.
 constexpr int max_sends = 5;
@@ -28,7 +28,7 @@
 /// a few events waiting; a node has memory for dozens of such callers.
 constexpr std::size_t max_unread_bytes = 256 * 1024;
 /// Longest body of a failure that is passed on.
-constexpr std::size_t max_failure_bytes = 1024 * 1024;
+constexpr std::size_t max_error_body_bytes = 1024 * 1024;
 constexpr duration retry_after_refused = std::chrono::milliseconds(300);
 constexpr int first_error_status = 500;
 constexpr int first_non_success_status = 300;
@@ -63,28 +63,28 @@
         [this]
         {
             if (this->attempt && !this->attempt->has_head() &&
-                net::event_loop::now() - this->sent_at > silence_timeout)
+                net::event_loop::now() - this->sent_at > unresponsive_timeout)
             {
                 this->slots.report_end(this->request.id, this->service,
                                        this->replica,
-                                       replica_verdict::may_have_run);
+                                       attempt_outcome::may_have_run);
             }
             this->finish("caller_left", 0);
         });
     this->deadline_timer = this->context.loop.call_after(
         this->remaining(), [this] { this->expire(); });
-    this->order_slot();
+    this->request_slot();
 }
 
-void online_call::order_slot()
+void online_call::request_slot()
 {
     slot_order order;
     order.request = this->request.id;
     order.pool.service = this->service;
     order.priority = this->request.route->priority;
     order.useful_for = this->useful_time();
-    order.wait_when_late = this->request.asked_before > duration::zero() ||
-                           this->answer_started || this->sends > 0;
+    order.wait_when_late = this->request.elapsed_before > duration::zero() ||
+                           this->response_started || this->sends > 0;
     order.excluded = this->excluded;
     order.availability_zone = this->context.settings.availability_zone;
     this->lease = this->slots.order(
@@ -102,8 +102,8 @@
 {
     const duration target = this->request.route->target_latency;
     const time_point useful_until = this->request.received -
-                                    this->request.asked_before + target -
-                                    target / replica_share;
+                                    this->request.elapsed_before + target -
+                                    target / replica_time_divisor;
     return std::max(duration::zero(), useful_until - net::event_loop::now());
 }
 
@@ -136,15 +136,15 @@
     };
     if (this->request.route->kind == routing::request_kind::streaming)
     {
-        hooks.on_piece = [this](std::string_view piece)
+        hooks.on_chunk = [this](std::string_view chunk)
         {
-            this->take_piece(piece);
+            this->handle_chunk(chunk);
         };
     }
-    hooks.on_end = [this](replica_verdict verdict, net::http_response response,
+    hooks.on_end = [this](attempt_outcome outcome, net::http_response response,
                           const std::string& reason)
     {
-        this->take_end(verdict, std::move(response), reason);
+        this->handle_end(outcome, std::move(response), reason);
     };
     this->attempt = std::make_unique<replica_exchange>(
         this->context.http, this->context.dialect.headers(), *entry,
@@ -162,41 +162,41 @@
     sent.allow_connection_reuse = repeatable;
     if (repeatable && this->runs + 1 < this->request.route->max_attempts)
     {
-        sent.head_timeout = silence_timeout;
-        sent.idle_timeout = silence_timeout;
+        sent.head_timeout = unresponsive_timeout;
+        sent.idle_timeout = unresponsive_timeout;
     }
     return sent;
 }
 
-void online_call::take_piece(std::string_view piece)
+void online_call::handle_chunk(std::string_view chunk)
 {
     if (!is_success(this->collected_status))
     {
-        this->collected_body += piece;
-        if (this->collected_body.size() > max_failure_bytes)
+        this->collected_body += chunk;
+        if (this->collected_body.size() > max_error_body_bytes)
         {
-            this->attempt->give_up("the text of the failure is too long");
+            this->attempt->abort("the text of the failure is too long");
         }
         return;
     }
     std::string ready;
     for (const stream_event& event :
-         this->splitter.feed_new(piece, this->last_event))
+         this->splitter.feed_new(chunk, this->last_event))
     {
         ready += event.raw;
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->give_up("an event has no end");
+        this->attempt->abort("an event has no end");
         return;
     }
     if (ready.empty())
     {
         return;
     }
-    if (!this->answer_started)
+    if (!this->response_started)
     {
-        this->answer_started = true;
+        this->response_started = true;
         this->first_output_at = net::event_loop::now();
         this->exchange->start_stream(
             this->collected_status,
@@ -212,29 +212,30 @@
     }
 }
 
-void online_call::take_end(replica_verdict verdict, net::http_response response,
-                           const std::string& reason)
+void online_call::handle_end(attempt_outcome outcome,
+                             net::http_response response,
+                             const std::string& reason)
 {
     this->context.metrics.count("parsleytrack_replica_verdicts_total",
-                                {{"verdict", to_string(verdict)}});
-    const bool answered = verdict == replica_verdict::answered;
-    if (answered || verdict == replica_verdict::may_have_run)
+                                {{"verdict", to_string(outcome)}});
+    const bool answered = outcome == attempt_outcome::answered;
+    if (answered || outcome == attempt_outcome::may_have_run)
     {
         ++this->runs;
     }
-    if (answered && this->take_answer(std::move(response)))
+    if (answered && this->handle_response(std::move(response)))
     {
         return;
     }
     this->slots.report_end(this->request.id, this->service, this->replica,
-                           verdict);
+                           outcome);
     this->send_again(answered ? "the answer is not whole" : reason);
 }
 
-bool online_call::take_answer(net::http_response response)
+bool online_call::handle_response(net::http_response response)
 {
     const int status = response.status;
-    if (this->answer_started)
+    if (this->response_started)
     {
         if (!is_success(status) || this->splitter.has_partial_event())
         {
@@ -294,7 +295,7 @@
                {"runs", this->runs},
                {"after_event", this->last_event},
                {"reason", reason}});
-    this->order_slot();
+    this->request_slot();
 }
 
 void online_call::fail(error reason)
@@ -303,7 +304,7 @@
     {
         return;
     }
-    if (this->answer_started)
+    if (this->response_started)
     {
         this->exchange->abort();
         this->finish("stream_broken_off", 0);
@@ -382,7 +383,7 @@
 
 duration online_call::remaining() const
 {
-    return this->request.give_up_at - net::event_loop::now();
+    return this->request.deadline - net::event_loop::now();
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/online_call.hpp
+++ b/src/relay/online_call.hpp
@@ -39,14 +39,14 @@
     void start();
 
 private:
-    void order_slot();
+    void request_slot();
     duration useful_time() const;
     void send(const replica_id& replica);
     net::http_request make_request() const;
-    void take_piece(std::string_view piece);
-    void take_end(replica_verdict verdict, net::http_response response,
-                  const std::string& reason);
-    bool take_answer(net::http_response response);
+    void handle_chunk(std::string_view chunk);
+    void handle_end(attempt_outcome outcome, net::http_response response,
+                    const std::string& reason);
+    bool handle_response(net::http_response response);
     bool may_send_again() const;
     void send_again(const std::string& reason);
     void fail(error reason);
@@ -73,7 +73,7 @@
     /// Replicas to which the request was sent, and those that may have run it.
     int sends = 0;
     int runs = 0;
-    bool answer_started = false;
+    bool response_started = false;
     /// Status and body of an answer that is not passed on piece by piece.
     int collected_status = 0;
     std::string collected_body;
--- a/src/relay/online_request.hpp
+++ b/src/relay/online_request.hpp
@@ -20,10 +20,10 @@
     std::string body;
     time_point received;
     /// When the caller, or the route, allows no more time.
-    time_point give_up_at;
+    time_point deadline;
     /// How long before this request the caller asked first; zero when this is
     /// its first.
-    duration asked_before = duration::zero();
+    duration elapsed_before = duration::zero();
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/online_service.cpp
+++ b/src/relay/online_service.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-std::optional<duration> read_time_left(const net::http_request_head& head,
-                                       const header_names& names)
+std::optional<duration> parse_remaining_time(const net::http_request_head& head,
+                                             const header_names& names)
 {
     const std::string* text =
-        net::find_header(head.headers, names.time_left_ms.c_str());
+        net::find_header(head.headers, names.remaining_time_ms.c_str());
     if (text == nullptr)
     {
         return std::nullopt;
@@ -40,9 +40,10 @@
 {
 }
 
-void online_service::take(const std::shared_ptr<net::http_exchange>& exchange,
-                          std::shared_ptr<const routing::route_table> table,
-                          const routing::route& route)
+void online_service::handle_request(
+    const std::shared_ptr<net::http_exchange>& exchange,
+    std::shared_ptr<const routing::route_table> table,
+    const routing::route& route)
 {
     const header_names& names = this->context.dialect.headers();
     const std::string* id =
@@ -59,16 +60,17 @@
     request.id = request_id(*id);
     request.route = &route;
     request.received = net::event_loop::now();
-    const auto time_left = read_time_left(exchange->head(), names);
+    const auto remaining_time = parse_remaining_time(exchange->head(), names);
     duration allowed = route.timeout;
-    if (time_left)
+    if (remaining_time)
     {
-        allowed = allowed > duration::zero() ? std::min(allowed, *time_left)
-                                             : *time_left;
-        request.asked_before =
-            this->ages.note(route.name, *time_left, request.received);
+        allowed = allowed > duration::zero()
+                      ? std::min(allowed, *remaining_time)
+                      : *remaining_time;
+        request.elapsed_before = this->wait_estimator.estimate(
+            route.name, *remaining_time, request.received);
     }
-    request.give_up_at = request.received + allowed;
+    request.deadline = request.received + allowed;
     const std::size_t limit =
         static_cast<std::size_t>(table->contents().limits.body.count());
     request.table = std::move(table);
--- a/src/relay/online_service.hpp
+++ b/src/relay/online_service.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "net/http_exchange.hpp"
-#include "relay/caller_age.hpp"
+#include "relay/caller_wait_estimator.hpp"
 #include "relay/online_call.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/slot_client.hpp"
@@ -25,9 +25,9 @@
     ///
     /// \param table The configuration in force.
     /// \param route The route that the request falls under.
-    void take(const std::shared_ptr<net::http_exchange>& exchange,
-              std::shared_ptr<const routing::route_table> table,
-              const routing::route& route);
+    void handle_request(const std::shared_ptr<net::http_exchange>& exchange,
+                        std::shared_ptr<const routing::route_table> table,
+                        const routing::route& route);
 
     std::size_t open_calls() const { return this->calls.size(); }
 
@@ -38,7 +38,7 @@
     const relay_context& context;
     slot_client& slots;
     std::map<std::uint64_t, std::unique_ptr<online_call>> calls;
-    caller_age ages;
+    caller_wait_estimator wait_estimator;
     std::uint64_t next_number = 1;
 };
 
--- a/src/relay/refusal.cpp
+++ b/src/relay/refusal.cpp
@@ -29,9 +29,9 @@
 int refuse(net::http_exchange& exchange, const error& reason)
 {
     int status = http_status(reason);
-    const bool promises =
+    const bool promises_not_run =
         status == status_too_many || status == status_unavailable;
-    if (promises && reason.ran == ran_state::unknown)
+    if (promises_not_run && reason.ran == ran_state::unknown)
     {
         status = status_gateway_timeout;
     }
--- a/src/relay/relay_dialect.hpp
+++ b/src/relay/relay_dialect.hpp
@@ -4,7 +4,7 @@
 #include "jobs/job_page.hpp"
 #include "key_value/record_dialect.hpp"
 #include "net/http_request_head.hpp"
-#include "relay/address_question.hpp"
+#include "relay/address_request.hpp"
 #include "relay/header_names.hpp"
 #include "relay/job_call.hpp"
 #include "relay/store_keys.hpp"
@@ -41,10 +41,10 @@
     read_replica(const std::string& key, std::string_view value) const = 0;
 
     /// \returns The question; absent when the request is another one.
-    virtual std::optional<address_question>
-    read_address_question(const net::http_request_head& head) const = 0;
+    virtual std::optional<address_request>
+    read_address_request(const net::http_request_head& head) const = 0;
     virtual std::string
-    write_address_answer(const address_answer& answer) const = 0;
+    write_address_response(const address_response& response) const = 0;
 
     /// \returns The call; absent when the request is another one.
     virtual std::optional<job_call>
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -112,19 +112,20 @@
     status_report status{this->context, this->desk, this->jobs};
     std::vector<net::timer> signals;
     net::timer stop_timer;
-    net::timer calls_timer;
+    net::timer store_calls_timer;
     std::optional<stop_schedule> stop;
 
     result<bool> listen();
     void apply_limits();
-    void take(const std::shared_ptr<net::http_exchange>& exchange);
-    void take_ready(const std::shared_ptr<net::http_exchange>& exchange);
-    void take_directory(const std::shared_ptr<net::http_exchange>& exchange);
-    void take_metrics(const std::shared_ptr<net::http_exchange>& exchange);
+    void handle_request(const std::shared_ptr<net::http_exchange>& exchange);
+    void handle_readiness(const std::shared_ptr<net::http_exchange>& exchange);
+    void
+    handle_address_request(const std::shared_ptr<net::http_exchange>& exchange);
+    void handle_metrics(const std::shared_ptr<net::http_exchange>& exchange);
     void log_store_calls() const;
     void reload();
     void begin_stop();
-    void finish_stop();
+    void advance_stop();
 };
 
 result<bool> relay_node::state::listen()
@@ -143,10 +144,11 @@
         request_handler handler;
     };
     const std::vector<listener> listeners = {
-        {this->front, this->settings.front, &state::take},
-        {this->ready, this->settings.ready, &state::take_ready},
-        {this->directory, this->settings.directory, &state::take_directory},
-        {this->metrics_server, this->settings.metrics, &state::take_metrics}};
+        {this->front, this->settings.front, &state::handle_request},
+        {this->ready, this->settings.ready, &state::handle_readiness},
+        {this->directory, this->settings.directory,
+         &state::handle_address_request},
+        {this->metrics_server, this->settings.metrics, &state::handle_metrics}};
     for (const listener& entry : listeners)
     {
         if (!entry.address)
@@ -174,7 +176,7 @@
         limits.header, limits.header_timeout, limits.idle_timeout});
 }
 
-void relay_node::state::take(
+void relay_node::state::handle_request(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
     const auto table = this->configuration.current();
@@ -185,7 +187,7 @@
                                 ran_state::no, retry_after_start});
         return;
     }
-    if (this->stop && !this->stop->takes_requests(net::event_loop::now()))
+    if (this->stop && !this->stop->accepts_requests(net::event_loop::now()))
     {
         refuse(*exchange,
                error{error_code::shutting_down, "this node is stopping",
@@ -221,21 +223,21 @@
         this->jobs.submit(exchange, table, *route);
         return;
     }
-    this->online.take(exchange, table, *route);
+    this->online.handle_request(exchange, table, *route);
 }
 
-void relay_node::state::take_ready(
+void relay_node::state::handle_readiness(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
     const bool is_ready = !this->stop && this->configuration.current();
     exchange->respond(is_ready ? status_ok : status_unavailable, {}, {});
 }
 
-void relay_node::state::take_directory(
+void relay_node::state::handle_address_request(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
-    const auto question = this->dialect.read_address_question(exchange->head());
-    if (!question)
+    const auto request = this->dialect.read_address_request(exchange->head());
+    if (!request)
     {
         refuse(*exchange, error{error_code::not_found,
                                 "there is no " + exchange->head().path,
@@ -243,10 +245,10 @@
                                 {}});
         return;
     }
-    this->addresses.answer(exchange, *question);
+    this->addresses.respond(exchange, *request);
 }
 
-void relay_node::state::take_metrics(
+void relay_node::state::handle_metrics(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
     if (exchange->head().path == "/status")
@@ -291,13 +293,13 @@
     this->front.close_after_answers();
     this->jobs.stop();
     this->stop_timer = this->loop.call_every(stop_poll_interval,
-                                             [this] { this->finish_stop(); });
+                                             [this] { this->advance_stop(); });
 }
 
-void relay_node::state::finish_stop()
+void relay_node::state::advance_stop()
 {
     const time_point now = net::event_loop::now();
-    if (this->stop->takes_requests(now))
+    if (this->stop->accepts_requests(now))
     {
         return;
     }
@@ -336,8 +338,8 @@
     self.configuration.on_change([&self] { self.apply_limits(); });
     self.configuration.start();
     self.replicas.start();
-    self.calls_timer = self.loop.call_every(store_calls_interval, [&self]
-                                            { self.status.log_store_calls(); });
+    self.store_calls_timer = self.loop.call_every(
+        store_calls_interval, [&self] { self.status.log_store_calls(); });
     log_event(log_level::info, "started",
               {{"peer", to_string(self.settings.peer)},
                {"zone", self.settings.availability_zone.str()},
--- a/src/relay/replica_exchange.cpp
+++ b/src/relay/replica_exchange.cpp
@@ -12,19 +12,19 @@
 
 } // namespace
 
-const char* to_string(replica_verdict verdict)
+const char* to_string(attempt_outcome outcome)
 {
-    switch (verdict)
+    switch (outcome)
     {
-    case replica_verdict::answered:
+    case attempt_outcome::answered:
         return "answered";
-    case replica_verdict::not_run:
+    case attempt_outcome::not_run:
         return "not_run";
-    case replica_verdict::wrong_replica:
+    case attempt_outcome::wrong_replica:
         return "wrong_replica";
-    case replica_verdict::not_sent:
+    case attempt_outcome::not_sent:
         return "not_sent";
-    case replica_verdict::may_have_run:
+    case attempt_outcome::may_have_run:
         return "may_have_run";
     }
     return "unknown";
@@ -43,44 +43,44 @@
     net::http_client::callbacks client_hooks;
     client_hooks.on_head = [this](const net::http_response& response)
     {
-        this->take_head(response);
+        this->handle_head(response);
     };
-    if (this->hooks.on_piece)
+    if (this->hooks.on_chunk)
     {
-        client_hooks.on_piece = [this](std::string_view piece)
+        client_hooks.on_piece = [this](std::string_view chunk)
         {
-            if (this->kind == answer_kind::own)
+            if (this->kind == response_kind::matching)
             {
-                this->hooks.on_piece(piece);
+                this->hooks.on_chunk(chunk);
             }
         };
     }
-    client_hooks.on_end = [this](result<net::http_response> outcome)
+    client_hooks.on_end = [this](result<net::http_response> response)
     {
-        this->end(std::move(outcome));
+        this->handle_end(std::move(response));
     };
     this->call = client.send(replica.address, request, std::move(client_hooks));
 }
 
-void replica_exchange::take_head(const net::http_response& response)
+void replica_exchange::handle_head(const net::http_response& response)
 {
     this->head_seen = true;
     this->head = response;
     this->kind = this->classify(response);
-    if (this->kind == answer_kind::own && this->hooks.on_head)
+    if (this->kind == response_kind::matching && this->hooks.on_head)
     {
         this->hooks.on_head(response);
     }
 }
 
-void replica_exchange::give_up(const std::string& reason)
+void replica_exchange::abort(const std::string& reason)
 {
     this->call.reset();
     const auto callback = this->hooks.on_end;
-    callback(replica_verdict::may_have_run, this->head, reason);
+    callback(attempt_outcome::may_have_run, this->head, reason);
 }
 
-replica_exchange::answer_kind
+replica_exchange::response_kind
 replica_exchange::classify(const net::http_response& response) const
 {
     const auto field = [&response](const std::string& name)
@@ -90,59 +90,60 @@
     const std::string* echoed = field(this->names.request_id);
     if (echoed != nullptr && *echoed != this->id.str())
     {
-        return answer_kind::foreign;
+        return response_kind::mismatched;
     }
     if (response.status == status_misdirected)
     {
-        return answer_kind::wrong_replica;
+        return response_kind::wrong_replica;
     }
     if (field(this->names.not_executed) != nullptr)
     {
-        return answer_kind::not_run;
+        return response_kind::not_run;
     }
     const bool is_signed =
         echoed != nullptr && field(this->names.digest) != nullptr;
-    return is_signed ? answer_kind::own : answer_kind::foreign;
+    return is_signed ? response_kind::matching : response_kind::mismatched;
 }
 
-void replica_exchange::end(result<net::http_response> outcome)
+void replica_exchange::handle_end(result<net::http_response> response)
 {
     // The callback may destroy this object.
     const auto callback = this->hooks.on_end;
-    if (outcome.has_error())
+    if (response.has_error())
     {
-        const error& reason = outcome.error();
-        replica_verdict verdict = reason.ran == ran_state::no
-                                      ? replica_verdict::not_sent
-                                      : replica_verdict::may_have_run;
-        if (this->kind == answer_kind::not_run ||
-            this->kind == answer_kind::wrong_replica)
+        const error& reason = response.error();
+        attempt_outcome outcome = reason.ran == ran_state::no
+                                      ? attempt_outcome::not_sent
+                                      : attempt_outcome::may_have_run;
+        if (this->kind == response_kind::not_run ||
+            this->kind == response_kind::wrong_replica)
         {
-            verdict = this->kind == answer_kind::not_run
-                          ? replica_verdict::not_run
-                          : replica_verdict::wrong_replica;
+            outcome = this->kind == response_kind::not_run
+                          ? attempt_outcome::not_run
+                          : attempt_outcome::wrong_replica;
         }
-        callback(verdict, this->head, reason.message);
+        callback(outcome, this->head, reason.message);
         return;
     }
-    const std::string seen = "status " + std::to_string(outcome.value().status);
+    const std::string seen =
+        "status " + std::to_string(response.value().status);
     switch (this->kind)
     {
-    case answer_kind::own:
-        callback(replica_verdict::answered, std::move(outcome.value()), seen);
+    case response_kind::matching:
+        callback(attempt_outcome::answered, std::move(response.value()), seen);
         return;
-    case answer_kind::not_run:
-        callback(replica_verdict::not_run, std::move(outcome.value()), seen);
+    case response_kind::not_run:
+        callback(attempt_outcome::not_run, std::move(response.value()), seen);
         return;
-    case answer_kind::wrong_replica:
-        callback(replica_verdict::wrong_replica, std::move(outcome.value()),
+    case response_kind::wrong_replica:
+        callback(attempt_outcome::wrong_replica, std::move(response.value()),
                  seen);
         return;
-    case answer_kind::none:
-    case answer_kind::foreign:
+    case response_kind::none:
+    case response_kind::mismatched:
         break;
     }
-    callback(replica_verdict::may_have_run, std::move(outcome.value()),
+    callback(attempt_outcome::may_have_run, std::move(response.value()),
              "the answer does not belong to the request");
 }
 
--- a/src/relay/replica_exchange.hpp
+++ b/src/relay/replica_exchange.hpp
@@ -16,7 +16,7 @@
 {
 
 /// What became of one request at one replica.
-enum class replica_verdict
+enum class attempt_outcome
 {
     /// The whole answer has come.
     answered,
@@ -30,9 +30,9 @@
     may_have_run
 };
 
-/// \param verdict Any verdict.
+/// \param outcome Any verdict.
 /// \returns Its name for logs and metric labels.
-const char* to_string(replica_verdict verdict);
+const char* to_string(attempt_outcome outcome);
 
 /// Sends one request to one replica and makes sure that the answer belongs to
 /// it. Destroying it closes the connection, at which the replica stops work.
@@ -49,10 +49,10 @@
         /// Optional.
         std::function<void(const net::http_response&)> on_head;
         /// Pieces of its body. Without it the body is collected.
-        std::function<void(std::string_view)> on_piece;
+        std::function<void(std::string_view)> on_chunk;
         /// The end. The response is complete with answered, and may have a
         /// status and fields with not_run; the text says what was seen.
-        std::function<void(replica_verdict, net::http_response,
+        std::function<void(attempt_outcome, net::http_response,
                            const std::string& reason)>
             on_end;
     };
@@ -69,7 +69,7 @@
 
     /// Ends the exchange because the answer is of no use; the replica may have
     /// run the request. Calls on_end, which may destroy this object.
-    void give_up(const std::string& reason);
+    void abort(const std::string& reason);
 
     /// \returns Whether the head of the answer has come.
     bool has_head() const { return this->head_seen; }
@@ -81,23 +81,23 @@
     }
 
 private:
-    enum class answer_kind
+    enum class response_kind
     {
         none,
-        own,
-        foreign,
+        matching,
+        mismatched,
         not_run,
         wrong_replica
     };
 
-    void take_head(const net::http_response& response);
-    answer_kind classify(const net::http_response& response) const;
-    void end(result<net::http_response> outcome);
+    void handle_head(const net::http_response& response);
+    response_kind classify(const net::http_response& response) const;
+    void handle_end(result<net::http_response> response);
 
     const header_names& names;
     request_id id;
     callbacks hooks;
-    answer_kind kind = answer_kind::none;
+    response_kind kind = response_kind::none;
     bool head_seen = false;
     /// Status and fields, for answers whose body is passed on piece by piece.
     net::http_response head;
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -12,7 +12,7 @@
 
 /// Replicas change together in a release; a leaving one may get requests for
 /// two seconds after its word, four times this.
-constexpr duration collecting_time = std::chrono::milliseconds(500);
+constexpr duration change_batch_window = std::chrono::milliseconds(500);
 constexpr duration expiry_interval = std::chrono::milliseconds(250);
 
 } // namespace
@@ -26,16 +26,17 @@
                                    std::size_t most_alone)
     : loop(event_loop), dialect(translator),
       follower(event_loop, client, network, nodes, random_numbers,
-               translator.keys().replica_prefix, collecting_time, most_alone,
+               translator.keys().replica_prefix, change_batch_window,
+               most_alone,
                {[this](const key_value::record_listing& listing, bool failed)
-                { this->take_listing(listing, failed); },
+                { this->apply_listing(listing, failed); },
                 [this](const std::vector<key_value::record_change>& changes)
                 {
                     for (const key_value::record_change& change : changes)
                     {
-                        this->take_change(change);
+                        this->apply_change(change);
                     }
-                    this->tell();
+                    this->notify_if_changed();
                 },
                 [this](const error&)
                 {
@@ -55,7 +56,7 @@
     log_event(log_level::info, "replica_leaving",
               {{"replica", id.str()}, {"learned_from", reason}});
     this->replicas.mark_leaving(id);
-    this->tell();
+    this->notify_if_changed();
 }
 
 duration replica_follower::age() const
@@ -68,8 +69,8 @@
     this->change_callbacks.push_back(std::move(callback));
 }
 
-void replica_follower::take_listing(const key_value::record_listing& listing,
-                                    bool after_failure)
+void replica_follower::apply_listing(const key_value::record_listing& listing,
+                                     bool after_failure)
 {
     std::map<replica_id, routing::replica_entry> entries;
     for (const key_value::stored_record& record : listing.records)
@@ -89,10 +90,10 @@
                {"after_failure", after_failure ? "yes" : "no"},
                {"revision", listing.read_at.count()}});
     this->replicas.replace_all(entries, after_failure, net::event_loop::now());
-    this->tell();
+    this->notify_if_changed();
 }
 
-void replica_follower::take_change(const key_value::record_change& change)
+void replica_follower::apply_change(const key_value::record_change& change)
 {
     const std::string& key = change.record.key;
     const std::size_t prefix = this->dialect.keys().replica_prefix.size();
@@ -131,12 +132,12 @@
         log_event(log_level::info, "replica_missing_after_outage",
                   {{"replica", id.str()}});
     }
-    this->tell();
+    this->notify_if_changed();
 }
 
-void replica_follower::tell()
+void replica_follower::notify_if_changed()
 {
-    if (std::exchange(this->told_generation, this->replicas.generation()) ==
+    if (std::exchange(this->notified_generation, this->replicas.generation()) ==
         this->replicas.generation())
     {
         return;
--- a/src/relay/replica_follower.hpp
+++ b/src/relay/replica_follower.hpp
@@ -38,11 +38,11 @@
     void on_change(std::function<void()> callback);
 
 private:
-    void take_listing(const key_value::record_listing& listing,
-                      bool after_failure);
-    void take_change(const key_value::record_change& change);
+    void apply_listing(const key_value::record_listing& listing,
+                       bool after_failure);
+    void apply_change(const key_value::record_change& change);
     void expire();
-    void tell();
+    void notify_if_changed();
 
     net::event_loop& loop;
     const relay_dialect& dialect;
@@ -50,7 +50,7 @@
     routing::replica_book replicas;
     std::vector<std::function<void()>> change_callbacks;
     net::timer expiry_timer;
-    std::uint64_t told_generation = 0;
+    std::uint64_t notified_generation = 0;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/replica_request.cpp
+++ b/src/relay/replica_request.cpp
@@ -11,7 +11,8 @@
 {
 
 net::http_request replica_request(const net::http_request_head& head,
-                                  const header_names& names, duration time_left,
+                                  const header_names& names,
+                                  duration remaining_time,
                                   std::int64_t last_event)
 {
     net::http_request request;
@@ -27,15 +28,15 @@
         {
             return strcasecmp(name.c_str(), other.c_str()) == 0;
         };
-        return is(names.time_left_ms) || is(names.expected_replica) ||
+        return is(names.remaining_time_ms) || is(names.expected_replica) ||
                (last_event > 0 && is(names.resume_after));
     };
     request.headers = end_to_end_headers(head.headers);
     std::erase_if(request.headers, [&is_replaced](const auto& field)
                   { return is_replaced(field.first); });
-    request.headers.emplace_back(
-        names.time_left_ms,
-        std::to_string(std::max<std::int64_t>(1, to_milliseconds(time_left))));
+    request.headers.emplace_back(names.remaining_time_ms,
+                                 std::to_string(std::max<std::int64_t>(
+                                     1, to_milliseconds(remaining_time))));
     if (last_event > 0)
     {
         request.headers.emplace_back(names.resume_after,
--- a/src/relay/replica_request.hpp
+++ b/src/relay/replica_request.hpp
@@ -12,11 +12,12 @@
 
 /// \param head What the caller has asked.
 /// \param names Names of header fields.
-/// \param time_left What remains of the caller's time.
+/// \param remaining_time What remains of the caller's time.
 /// \param last_event Number of the last event that the caller has; 0 for none.
 /// \returns The same request for a replica, without its body.
 net::http_request replica_request(const net::http_request_head& head,
-                                  const header_names& names, duration time_left,
+                                  const header_names& names,
+                                  duration remaining_time,
                                   std::int64_t last_event);
 
 } // namespace parsleytrack::relay
--- a/src/relay/slot_client.cpp
+++ b/src/relay/slot_client.cpp
@@ -89,13 +89,13 @@
 
 void slot_client::report_end(const request_id& request,
                              const service_name& service,
-                             const replica_id& replica, replica_verdict verdict)
+                             const replica_id& replica, attempt_outcome verdict)
 {
-    if (verdict == replica_verdict::not_run)
+    if (verdict == attempt_outcome::not_run)
     {
         return;
     }
-    const bool leaving = verdict == replica_verdict::wrong_replica;
+    const bool leaving = verdict == attempt_outcome::wrong_replica;
     if (leaving)
     {
         this->context.replicas.mark_leaving(replica, "refused_request");
--- a/src/relay/slot_client.hpp
+++ b/src/relay/slot_client.hpp
@@ -65,7 +65,7 @@
     ///
     /// \param verdict What became of the request at the replica.
     void report_end(const request_id& request, const service_name& service,
-                    const replica_id& replica, replica_verdict verdict);
+                    const replica_id& replica, attempt_outcome verdict);
 
     /// Called by leases only.
     void give_back(std::uint64_t number);
--- a/src/relay/storage_node.cpp
+++ b/src/relay/storage_node.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr duration report_limit = std::chrono::seconds(5);
-constexpr duration report_pause = std::chrono::milliseconds(500);
+constexpr duration report_timeout = std::chrono::seconds(5);
+constexpr duration report_retry_delay = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -28,7 +28,7 @@
                duration::zero(),
                key_value::record_follower::each_record(
                    [this](const key_value::stored_record& record)
-                   { this->take(record); }))
+                   { this->handle_record(record); }))
 {
 }
 
@@ -50,7 +50,7 @@
     log_event(log_level::info, "stopped");
 }
 
-void storage_node::take(const key_value::stored_record& record)
+void storage_node::handle_record(const key_value::stored_record& record)
 {
     const std::string own_key =
         this->dialect.keys().retirement_prefix + this->settings.id.str();
@@ -60,17 +60,17 @@
     }
     log_event(log_level::info, "retirement_asked",
               {{"revision", record.revision.count()}});
-    this->report_empty();
+    this->report_retirement_completed();
 }
 
-void storage_node::report_empty()
+void storage_node::report_retirement_completed()
 {
     const std::string key =
         this->dialect.keys().retirement_state_prefix + this->settings.id.str();
     key_value::record_transaction transaction;
     transaction.puts = {{key, this->dialect.write_retirement_state(true)}};
     this->store.commit(
-        std::move(transaction), report_limit,
+        std::move(transaction), report_timeout,
         [this](const result<key_value::transaction_outcome>& outcome)
         {
             if (outcome.has_value())
@@ -78,8 +78,9 @@
                 log_event(log_level::info, "retirement_completed");
                 return;
             }
-            this->retry_timer = this->loop.call_after(
-                report_pause, [this] { this->report_empty(); });
+            this->retry_timer =
+                this->loop.call_after(report_retry_delay, [this]
+                                      { this->report_retirement_completed(); });
         });
 }
 
--- a/src/relay/storage_node.hpp
+++ b/src/relay/storage_node.hpp
@@ -25,8 +25,8 @@
     void run();
 
 private:
-    void take(const key_value::stored_record& record);
-    void report_empty();
+    void handle_record(const key_value::stored_record& record);
+    void report_retirement_completed();
 
     settings::relay_settings settings;
     const relay_dialect& dialect;
--- a/src/relay/usage_book.cpp
+++ b/src/relay/usage_tracker.cpp
@@ -1,4 +1,4 @@
-#include "relay/usage_book.hpp"
+#include "relay/usage_tracker.hpp"
 
 #include "jobs/job_codec.hpp"
 #include "logging/log.hpp"
@@ -9,14 +9,14 @@
 namespace parsleytrack::relay
 {
 
-usage_book::usage usage_book::get(const std::string& route_name) const
+usage_tracker::usage usage_tracker::get(const std::string& route_name) const
 {
     const auto found = this->values.find(route_name);
     return found == this->values.end() ? usage{} : found->second;
 }
 
-void usage_book::take(const std::string& route_name,
-                      const key_value::stored_record& record)
+void usage_tracker::update(const std::string& route_name,
+                           const key_value::stored_record& record)
 {
     usage value;
     value.revision = record.revision;
@@ -38,8 +38,9 @@
     this->values[route_name] = value;
 }
 
-bool usage_book::take_from(const std::string& route_name,
-                           const std::vector<key_value::stored_record>& current)
+bool usage_tracker::update_from(
+    const std::string& route_name,
+    const std::vector<key_value::stored_record>& current)
 {
     const auto found =
         std::find_if(current.begin(), current.end(),
@@ -49,11 +50,11 @@
     {
         return false;
     }
-    this->take(route_name, *found);
+    this->update(route_name, *found);
     return true;
 }
 
-void usage_book::set(const std::string& route_name, usage value)
+void usage_tracker::set(const std::string& route_name, usage value)
 {
     this->values[route_name] = value;
 }
--- a/tests/relay/stop_schedule_test.cpp
+++ b/tests/relay/stop_schedule_test.cpp
@@ -15,8 +15,8 @@
 TEST(stop_schedule, serves_while_callers_may_keep_the_address)
 {
     const stop_schedule schedule(begin, seconds(1), seconds(8));
-    CHECK(schedule.takes_requests(begin + milliseconds(2999)));
-    CHECK_FALSE(schedule.takes_requests(begin + seconds(3)));
+    CHECK(schedule.accepts_requests(begin + milliseconds(2999)));
+    CHECK_FALSE(schedule.accepts_requests(begin + seconds(3)));
     CHECK_FALSE(schedule.is_over(begin + seconds(2), 0));
     CHECK(schedule.is_over(begin + seconds(3), 0));
     CHECK_FALSE(schedule.is_over(begin + seconds(3), 1));
@@ -27,7 +27,7 @@
 {
     const stop_schedule schedule(begin, seconds(5), seconds(8));
     time_point last = begin;
-    while (schedule.takes_requests(last + milliseconds(10)))
+    while (schedule.accepts_requests(last + milliseconds(10)))
     {
         last += milliseconds(10);
     }
@@ -38,6 +38,6 @@
 TEST(stop_schedule, a_short_limit_ends_in_time)
 {
     const stop_schedule schedule(begin, seconds(2), seconds(1));
-    CHECK_FALSE(schedule.takes_requests(begin));
+    CHECK_FALSE(schedule.accepts_requests(begin));
     CHECK(schedule.is_over(begin + milliseconds(600), 5));
 }
