--- a/src/jobs/job_codec.cpp
+++ b/src/jobs/job_codec.cpp
@@ -78,7 +78,7 @@
     message.job = state.id.str();
     message.route_name = state.route_name;
     message.owner = state.owner.str();
-    message.owner_life = state.owner_life.count();
+    message.owner_life = state.owner_incarnation.count();
     message.cancelled = state.cancelled;
     message.submitted_at_ms = state.submitted_at_ms;
     message.item_count = static_cast<std::int32_t>(state.item_count);
@@ -108,7 +108,7 @@
     state.id = job_id(read.job);
     state.route_name = read.route_name;
     state.owner = node_id(read.owner);
-    state.owner_life = incarnation_number(read.owner_life);
+    state.owner_incarnation = incarnation_number(read.owner_life);
     state.cancelled = read.cancelled;
     state.submitted_at_ms = read.submitted_at_ms;
     state.item_count = static_cast<std::size_t>(read.item_count);
--- a/src/jobs/job_commit.hpp
+++ b/src/jobs/job_commit.hpp
@@ -16,7 +16,7 @@
     /// The state with the new outcomes.
     job_state state;
     /// The revision that the state must still have.
-    store_revision expected;
+    store_revision expected_revision;
     /// Position of the first new result.
     std::size_t first_position = 0;
     std::vector<job_result> results;
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -29,7 +29,7 @@
     std::string route_name;
     node_id owner;
     /// Which life of the owner; see node_info::started_as.
-    incarnation_number owner_life;
+    incarnation_number owner_incarnation;
     bool cancelled = false;
     /// In the order in which results are read; only ever grows at its end.
     std::vector<item_outcome> outcomes;
--- a/src/jobs/owned_job.cpp
+++ b/src/jobs/owned_job.cpp
@@ -21,14 +21,15 @@
 
 owned_job::owned_job(job_input job, job_state state, store_revision revision,
                      std::vector<std::string> outputs)
-    : submitted(std::move(job)), agreed(std::move(state)),
-      agreed_revision(revision), agreed_outputs(std::move(outputs)),
+    : submitted(std::move(job)), committed(std::move(state)),
+      committed_revision(revision), committed_outputs(std::move(outputs)),
       failures(this->submitted.items.size(), 0)
 {
-    check_invariant(this->agreed_outputs.size() == this->agreed.outcomes.size(),
+    check_invariant(this->committed_outputs.size() ==
+                        this->committed.outcomes.size(),
                     "each agreed outcome has its output");
     std::vector<bool> has_outcome(this->submitted.items.size(), false);
-    for (const item_outcome& outcome : this->agreed.outcomes)
+    for (const item_outcome& outcome : this->committed.outcomes)
     {
         has_outcome.at(outcome.item) = true;
     }
@@ -41,9 +42,9 @@
     }
 }
 
-std::optional<std::size_t> owned_job::take_item()
+std::optional<std::size_t> owned_job::start_next_item()
 {
-    if (this->waiting.empty() || this->agreed.cancelled)
+    if (this->waiting.empty() || this->committed.cancelled)
     {
         return std::nullopt;
     }
@@ -57,15 +58,15 @@
     this->waiting.push_front(item);
 }
 
-bool owned_job::fail_item(std::size_t item, int most_failures)
+bool owned_job::fail_item(std::size_t item, int max_failures)
 {
     ++this->failures[item];
-    if (this->failures[item] < most_failures)
+    if (this->failures[item] < max_failures)
     {
         this->waiting.push_back(item);
         return false;
     }
-    this->give_up_item(item);
+    this->abandon_item(item);
     return true;
 }
 
@@ -74,16 +75,16 @@
     this->end_item(ended_item{item, true, std::move(output)});
 }
 
-void owned_job::give_up_item(std::size_t item)
+void owned_job::abandon_item(std::size_t item)
 {
     this->end_item(ended_item{item, false, {}});
 }
 
-void owned_job::give_up_waiting_items()
+void owned_job::abandon_waiting_items()
 {
     for (const std::size_t item : std::exchange(this->waiting, {}))
     {
-        this->give_up_item(item);
+        this->abandon_item(item);
     }
 }
 
@@ -101,15 +102,16 @@
 
 std::optional<job_commit> owned_job::begin_commit(bool release)
 {
-    if (this->committing || this->uncommitted.empty() || this->agreed.cancelled)
+    if (this->committing || this->uncommitted.empty() ||
+        this->committed.cancelled)
     {
         return std::nullopt;
     }
     this->committing = true;
     job_commit commit;
-    commit.state = this->agreed;
-    commit.expected = this->agreed_revision;
-    commit.first_position = this->agreed.outcomes.size();
+    commit.state = this->committed;
+    commit.expected_revision = this->committed_revision;
+    commit.first_position = this->committed.outcomes.size();
     while (!this->uncommitted.empty() &&
            commit.results.size() < max_results_per_commit)
     {
@@ -148,11 +150,11 @@
                                store_revision revision)
 {
     this->committing = false;
-    this->agreed = commit.state;
-    this->agreed_revision = revision;
+    this->committed = commit.state;
+    this->committed_revision = revision;
     for (const job_result& entry : commit.results)
     {
-        this->agreed_outputs.push_back(entry.output);
+        this->committed_outputs.push_back(entry.output);
     }
 }
 
@@ -168,30 +170,30 @@
     }
 }
 
-void owned_job::set_agreed(job_state state, store_revision revision)
+void owned_job::set_committed(job_state state, store_revision revision)
 {
-    check_invariant(state.outcomes.size() == this->agreed.outcomes.size(),
+    check_invariant(state.outcomes.size() == this->committed.outcomes.size(),
                     "another node's change keeps the outcomes");
-    this->agreed = std::move(state);
-    this->agreed_revision = revision;
+    this->committed = std::move(state);
+    this->committed_revision = revision;
 }
 
-job_page owned_job::page(std::size_t after, std::size_t most_bytes) const
+job_page owned_job::page(std::size_t after, std::size_t max_bytes) const
 {
-    page_builder page(this->submitted.items.size(), most_bytes);
-    for (std::size_t position = after; position < this->agreed.outcomes.size();
-         ++position)
+    page_builder page(this->submitted.items.size(), max_bytes);
+    for (std::size_t position = after;
+         position < this->committed.outcomes.size(); ++position)
     {
-        const item_outcome& outcome = this->agreed.outcomes[position];
+        const item_outcome& outcome = this->committed.outcomes[position];
         const bool fits = page.add(
             job_result{this->submitted.items[outcome.item].id,
-                       outcome.completed, this->agreed_outputs[position]});
+                       outcome.completed, this->committed_outputs[position]});
         if (!fits)
         {
             break;
         }
     }
-    return page.take();
+    return page.finish();
 }
 
 } // namespace parsleytrack::jobs
--- a/src/jobs/owned_job.hpp
+++ b/src/jobs/owned_job.hpp
@@ -16,24 +16,24 @@
 {
 
 /// A job as its owner runs it: which items wait, run or have ended, and what
-/// of it has been agreed. Callers only read what has been agreed, so that a
-/// result never changes its place.
+/// of it has been committed. Callers only read what has been committed, so that
+/// a result never changes its place.
 class owned_job
 {
 public:
     /// \param submitted What was submitted.
-    /// \param agreed The state as it was read or written.
+    /// \param committed The state as it was read or written.
     /// \param revision The state's revision.
     /// \param outputs Outputs of the agreed outcomes, in their order.
-    owned_job(job_input submitted, job_state agreed, store_revision revision,
+    owned_job(job_input submitted, job_state committed, store_revision revision,
               std::vector<std::string> outputs);
 
     const job_input& input() const { return this->submitted; }
-    const job_state& state() const { return this->agreed; }
-    store_revision revision() const { return this->agreed_revision; }
+    const job_state& state() const { return this->committed; }
+    store_revision revision() const { return this->committed_revision; }
 
     /// \returns The next item to run; it counts as running from then on.
-    std::optional<std::size_t> take_item();
+    std::optional<std::size_t> start_next_item();
 
     /// \returns Whether an item waits to be run.
     bool has_waiting_item() const { return !this->waiting.empty(); }
@@ -43,18 +43,18 @@
 
     /// A replica has failed the item.
     ///
-    /// \param most_failures Failures after which the item is given up.
+    /// \param max_failures Failures after which the item is given up.
     /// \returns Whether it was given up.
-    bool fail_item(std::size_t item, int most_failures);
+    bool fail_item(std::size_t item, int max_failures);
 
     /// The item has its whole output.
     void complete_item(std::size_t item, std::string output);
 
     /// The item ends without an output.
-    void give_up_item(std::size_t item);
+    void abandon_item(std::size_t item);
 
     /// Gives up all items that do not run and have no outcome.
-    void give_up_waiting_items();
+    void abandon_waiting_items();
 
     /// \returns Whether outcomes wait to be written.
     bool has_uncommitted() const { return !this->uncommitted.empty(); }
@@ -79,11 +79,11 @@
     void commit_failed(const job_commit& commit);
 
     /// Takes in the state as another node has written it.
-    void set_agreed(job_state state, store_revision revision);
+    void set_committed(job_state state, store_revision revision);
 
     /// \param after Position of the first result.
-    /// \param most_bytes Bound of the outputs; one result is always given.
-    job_page page(std::size_t after, std::size_t most_bytes) const;
+    /// \param max_bytes Bound of the outputs; one result is always given.
+    job_page page(std::size_t after, std::size_t max_bytes) const;
 
 private:
     struct ended_item
@@ -97,9 +97,9 @@
     token_count unfinished_tokens(const job_state& state) const;
 
     job_input submitted;
-    job_state agreed;
-    store_revision agreed_revision;
-    std::vector<std::string> agreed_outputs;
+    job_state committed;
+    store_revision committed_revision;
+    std::vector<std::string> committed_outputs;
     std::deque<std::size_t> waiting;
     std::vector<int> failures;
     std::deque<ended_item> uncommitted;
--- a/src/jobs/page_builder.hpp
+++ b/src/jobs/page_builder.hpp
@@ -14,8 +14,8 @@
 {
 public:
     /// \param total How many items the job has.
-    /// \param most_bytes Bound of the outputs together.
-    page_builder(std::size_t total, std::size_t most_bytes) : limit(most_bytes)
+    /// \param max_bytes Bound of the outputs together.
+    page_builder(std::size_t total, std::size_t max_bytes) : limit(max_bytes)
     {
         this->page.total = total;
     }
@@ -32,7 +32,7 @@
         return true;
     }
 
-    job_page take() { return std::move(this->page); }
+    job_page finish() { return std::move(this->page); }
 
 private:
     job_page page;
--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -13,7 +13,7 @@
 /// A replica that gives no sign for so long is held to be silent. Longer than
 /// for online requests, since nobody waits and prompts are read again after a
 /// preemption.
-constexpr duration silence_timeout = std::chrono::milliseconds(1500);
+constexpr duration unresponsive_timeout = std::chrono::milliseconds(1500);
 constexpr int status_ok = 200;
 constexpr int status_impossible = 422;
 
@@ -40,13 +40,14 @@
     order.wait_when_late = true;
     order.availability_zone = this->context.settings.availability_zone;
     this->lease = this->slots.order(
-        order,
-        {[this](const replica_id& granted) { this->send(granted); },
-         [this](duration) { this->finish(item_end::interrupted, "no slot"); },
-         [this]
-         {
-             this->finish(item_end::interrupted, "slot reclaimed");
-         }});
+        order, {[this](const replica_id& granted) { this->send(granted); },
+                [this](duration)
+                { this->finish(item_run_result::interrupted, "no slot"); },
+                [this]
+                {
+                    this->finish(item_run_result::interrupted,
+                                 "slot reclaimed");
+                }});
 }
 
 void item_run::send(const replica_id& granted)
@@ -55,7 +56,7 @@
         this->context.replicas.book().find_usable(granted);
     if (entry == nullptr)
     {
-        this->finish(item_end::interrupted, "the replica has left");
+        this->finish(item_run_result::interrupted, "the replica has left");
         return;
     }
     this->replica = granted;
@@ -73,29 +74,29 @@
     }
     request.body = this->item.body;
     request.connect_timeout = replica_exchange::connect_timeout;
-    request.head_timeout = silence_timeout;
-    request.idle_timeout = silence_timeout;
+    request.head_timeout = unresponsive_timeout;
+    request.idle_timeout = unresponsive_timeout;
     replica_exchange::callbacks hooks;
     hooks.on_head = [this](const net::http_response& head)
     {
         this->status = head.status;
     };
-    hooks.on_piece = [this](std::string_view piece)
+    hooks.on_piece = [this](std::string_view chunk)
     {
-        this->take_piece(piece);
+        this->handle_chunk(chunk);
     };
     hooks.on_end = [this](replica_verdict verdict,
                           const net::http_response& response,
                           const std::string& reason)
     {
-        this->take_end(verdict, response, reason);
+        this->handle_end(verdict, response, reason);
     };
     this->attempt = std::make_unique<replica_exchange>(
         this->context.http, names, *entry, std::move(request),
         request_id(this->item.id), std::move(hooks));
 }
 
-void item_run::take_piece(std::string_view piece)
+void item_run::handle_chunk(std::string_view chunk)
 {
     if (this->status != status_ok)
     {
@@ -103,7 +104,7 @@
     }
     bool has_events = this->progress.last_event > 0;
     for (const stream_event& event :
-         this->splitter.feed_new(piece, this->progress.last_event))
+         this->splitter.feed_new(chunk, this->progress.last_event))
     {
         // Comments add nothing.
         if (!event.number)
@@ -122,29 +123,31 @@
     }
 }
 
-void item_run::take_end(replica_verdict verdict,
-                        const net::http_response& response,
-                        const std::string& reason)
+void item_run::handle_end(replica_verdict verdict,
+                          const net::http_response& response,
+                          const std::string& reason)
 {
-    const bool whole = verdict == replica_verdict::answered;
-    if (whole && response.status == status_ok &&
+    const bool answered = verdict == replica_verdict::answered;
+    if (answered && response.status == status_ok &&
         !this->splitter.has_partial_event() && this->progress.last_event > 0)
     {
-        this->finish(item_end::completed, reason);
+        this->finish(item_run_result::completed, reason);
         return;
     }
-    if (whole && response.status == status_impossible)
+    if (answered && response.status == status_impossible)
     {
-        this->finish(item_end::impossible, reason);
+        this->finish(item_run_result::impossible, reason);
         return;
     }
     this->slots.report_end(request_id(this->item.id), this->service,
                            this->replica, verdict);
-    const bool failed = whole && response.status != status_ok;
-    this->finish(failed ? item_end::failed : item_end::interrupted, reason);
+    const bool failed = answered && response.status != status_ok;
+    this->finish(failed ? item_run_result::failed
+                        : item_run_result::interrupted,
+                 reason);
 }
 
-void item_run::finish(item_end end, const std::string& reason)
+void item_run::finish(item_run_result end, const std::string& reason)
 {
     // The exchange may be the one whose callback runs.
     this->context.loop.free_later(std::move(this->attempt));
--- a/src/relay/item_run.hpp
+++ b/src/relay/item_run.hpp
@@ -17,7 +17,7 @@
 {
 
 /// How one run of an item has ended.
-enum class item_end
+enum class item_run_result
 {
     completed,
     /// A replica has failed it.
@@ -34,7 +34,7 @@
 {
 public:
     using end_callback =
-        std::function<void(item_end end, const std::string& reason)>;
+        std::function<void(item_run_result end, const std::string& reason)>;
 
     /// \param node Outlives this object.
     /// \param slot_source Outlives this object.
@@ -55,10 +55,10 @@
 
 private:
     void send(const replica_id& replica);
-    void take_piece(std::string_view piece);
-    void take_end(replica_verdict verdict, const net::http_response& response,
-                  const std::string& reason);
-    void finish(item_end end, const std::string& reason);
+    void handle_chunk(std::string_view chunk);
+    void handle_end(replica_verdict verdict, const net::http_response& response,
+                    const std::string& reason);
+    void finish(item_run_result end, const std::string& reason);
 
     const relay_context& context;
     slot_client& slots;
--- a/src/relay/job_intake.cpp
+++ b/src/relay/job_acceptor.cpp
@@ -1,4 +1,4 @@
-#include "relay/job_intake.hpp"
+#include "relay/job_acceptor.hpp"
 
 #include "jobs/job_codec.hpp"
 #include "logging/log.hpp"
@@ -15,7 +15,7 @@
 /// Other nodes change the same usage record; each conflict brings its newest
 /// value along.
 constexpr int max_conflicts = 20;
-constexpr duration retry_after_full = std::chrono::seconds(2);
+constexpr duration retry_after_over_limit = std::chrono::seconds(2);
 constexpr duration retry_after_outage = std::chrono::milliseconds(500);
 
 token_count total_tokens(const jobs::job_input& input)
@@ -30,45 +30,46 @@
 
 } // namespace
 
-struct job_intake::submission
+struct job_acceptor::submission
 {
     std::shared_ptr<const jobs::job_input> input;
     jobs::job_state state;
     token_count limit;
     token_count waiting;
-    time_point give_up_at;
+    time_point deadline;
     int conflicts = 0;
     /// Whether the usage that is known was just read.
     bool usage_is_fresh = false;
     accept_callback callback;
 };
 
-job_intake::job_intake(const relay_context& node, usage_book& usages_of_routes)
+job_acceptor::job_acceptor(const relay_context& node,
+                           usage_book& usages_of_routes)
     : context(node), usages(usages_of_routes)
 {
 }
 
-void job_intake::accept(std::shared_ptr<const jobs::job_input> input,
-                        const node_info& owner, token_count limit,
-                        duration patience, accept_callback callback)
+void job_acceptor::accept(std::shared_ptr<const jobs::job_input> input,
+                          const node_info& owner, token_count limit,
+                          duration timeout, accept_callback callback)
 {
     const auto entry = std::make_shared<submission>();
     entry->input = std::move(input);
     entry->limit = limit;
-    entry->give_up_at = net::event_loop::now() + patience;
+    entry->deadline = net::event_loop::now() + timeout;
     entry->callback = std::move(callback);
     jobs::job_state& state = entry->state;
     state.id = entry->input->id;
     state.route_name = entry->input->route_name;
     state.owner = owner.id;
-    state.owner_life = owner.started_as;
+    state.owner_incarnation = owner.started_as;
     state.submitted_at_ms = entry->input->submitted_at_ms;
     state.item_count = entry->input->items.size();
     state.waiting_tokens = total_tokens(*entry->input);
     this->write(entry);
 }
 
-void job_intake::write(const std::shared_ptr<submission>& entry)
+void job_acceptor::write(const std::shared_ptr<submission>& entry)
 {
     const jobs::job_state& state = entry->state;
     const usage_book::usage usage = this->usages.get(state.route_name);
@@ -80,7 +81,7 @@
             this->read_usage(entry);
             return;
         }
-        this->refuse_over_limit(entry, usage.waiting);
+        this->reject_over_limit(entry, usage.waiting);
         return;
     }
     const std::string usage_key = job_usage_key(state.route_name);
@@ -91,12 +92,12 @@
                         {job_state_key(state.id), jobs::encode(state)},
                         {usage_key, jobs::encode_usage(entry->waiting)}};
     this->context.store.commit(
-        std::move(transaction), entry->give_up_at - net::event_loop::now(),
+        std::move(transaction), entry->deadline - net::event_loop::now(),
         [this, entry](const result<key_value::transaction_outcome>& outcome)
-        { this->take_outcome(entry, outcome); });
+        { this->handle_outcome(entry, outcome); });
 }
 
-void job_intake::take_outcome(
+void job_acceptor::handle_outcome(
     const std::shared_ptr<submission>& entry,
     const result<key_value::transaction_outcome>& outcome)
 {
@@ -136,7 +137,7 @@
     }
     ++entry->conflicts;
     if (entry->conflicts > max_conflicts ||
-        net::event_loop::now() >= entry->give_up_at)
+        net::event_loop::now() >= entry->deadline)
     {
         entry->callback(error{error_code::store_unavailable,
                               "too many changes of the waiting tokens at once",
@@ -146,7 +147,7 @@
     this->write(entry);
 }
 
-void job_intake::read_usage(const std::shared_ptr<submission>& entry)
+void job_acceptor::read_usage(const std::shared_ptr<submission>& entry)
 {
     const std::string key = job_usage_key(entry->state.route_name);
     this->context.store.get(
@@ -167,8 +168,8 @@
         });
 }
 
-void job_intake::refuse_over_limit(const std::shared_ptr<submission>& entry,
-                                   token_count waiting)
+void job_acceptor::reject_over_limit(const std::shared_ptr<submission>& entry,
+                                     token_count waiting)
 {
     // A submission that was accepted before is not refused.
     this->context.store.get(
@@ -201,7 +202,7 @@
                                   "the route has " +
                                       std::to_string(waiting.count()) +
                                       " tokens waiting",
-                                  ran_state::no, retry_after_full});
+                                  ran_state::no, retry_after_over_limit});
         });
 }
 
--- a/src/relay/job_intake.hpp
+++ b/src/relay/job_acceptor.hpp
@@ -18,38 +18,38 @@
     jobs::job_state state;
     store_revision revision;
     /// Whether an earlier submission had been accepted already.
-    bool was_known = false;
+    bool already_accepted = false;
 };
 
 /// Accepts submissions: writes the job's records and the tokens that it adds
 /// to its route in one transaction.
-class job_intake
+class job_acceptor
 {
 public:
     using accept_callback = std::function<void(result<accepted_job>)>;
 
     /// \param node Outlives this object.
     /// \param usages Outlives this object.
-    job_intake(const relay_context& node, usage_book& usages);
+    job_acceptor(const relay_context& node, usage_book& usages);
 
     /// Accepts a job, or finds that it has been accepted before.
     ///
     /// \param input What was submitted.
     /// \param owner The node that is to run the job.
     /// \param limit Tokens that may wait on the route; 0 for "no limit".
-    /// \param patience How long the store may take.
+    /// \param timeout How long the store may take.
     void accept(std::shared_ptr<const jobs::job_input> input,
-                const node_info& owner, token_count limit, duration patience,
+                const node_info& owner, token_count limit, duration timeout,
                 accept_callback callback);
 
 private:
     struct submission;
 
     void write(const std::shared_ptr<submission>& entry);
-    void take_outcome(const std::shared_ptr<submission>& entry,
-                      const result<key_value::transaction_outcome>& outcome);
+    void handle_outcome(const std::shared_ptr<submission>& entry,
+                        const result<key_value::transaction_outcome>& outcome);
     void read_usage(const std::shared_ptr<submission>& entry);
-    void refuse_over_limit(const std::shared_ptr<submission>& entry,
+    void reject_over_limit(const std::shared_ptr<submission>& entry,
                            token_count waiting);
 
     const relay_context& context;
--- a/src/relay/job_call.hpp
+++ b/src/relay/job_call.hpp
@@ -11,14 +11,14 @@
 /// A caller's call about a job that was accepted before.
 struct job_call
 {
-    enum class kind
+    enum class operation
     {
         read_results,
         read_item_body,
-        end
+        cancel
     };
 
-    kind what = kind::read_results;
+    operation requested = operation::read_results;
     job_id job;
     /// read_results: the first position that is wanted.
     std::size_t after = 0;
--- a/src/relay/job_cancellation.cpp
+++ b/src/relay/job_cancellation.cpp
@@ -15,7 +15,7 @@
 /// The owner commits results meanwhile; each conflict is followed by a new
 /// read.
 constexpr int max_attempts = 12;
-constexpr duration commit_limit = std::chrono::seconds(3);
+constexpr duration commit_timeout = std::chrono::seconds(3);
 constexpr duration retry_after = std::chrono::milliseconds(300);
 
 } // namespace
@@ -69,7 +69,7 @@
                              int attempt, end_callback callback)
 {
     const usage_book::usage usage = this->usages.get(state.route_name);
-    const token_count left =
+    const token_count remaining =
         std::max(token_count(0), usage.waiting - state.waiting_tokens);
     state.cancelled = true;
     state.waiting_tokens = token_count(0);
@@ -78,10 +78,10 @@
     transaction.conditions = {{job_state_key(state.id), revision},
                               {usage_key, usage.revision}};
     transaction.puts = {{job_state_key(state.id), jobs::encode(state)},
-                        {usage_key, jobs::encode_usage(left)}};
+                        {usage_key, jobs::encode_usage(remaining)}};
     this->context.store.commit(
-        std::move(transaction), commit_limit,
-        [this, state, left, attempt, callback = std::move(callback)](
+        std::move(transaction), commit_timeout,
+        [this, state, remaining, attempt, callback = std::move(callback)](
             const result<key_value::transaction_outcome>& outcome)
         {
             if (outcome.has_error())
@@ -94,7 +94,7 @@
             if (outcome.value().applied)
             {
                 this->usages.set(state.route_name,
-                                 {left, outcome.value().revision});
+                                 {remaining, outcome.value().revision});
                 callback(state);
                 return;
             }
--- a/src/relay/job_cleaner.cpp
+++ b/src/relay/job_cleaner.cpp
@@ -15,24 +15,25 @@
 {
 
 /// The store takes 32 entries a transaction.
-constexpr std::size_t max_erased = 32;
+constexpr std::size_t max_erased_per_commit = 32;
 /// Jobs that are erased at the same time, so that it never crowds the store.
-constexpr std::size_t max_under_way = 2;
-constexpr duration commit_limit = std::chrono::seconds(5);
+constexpr std::size_t max_concurrent_erasures = 2;
+constexpr duration commit_timeout = std::chrono::seconds(5);
 
 } // namespace
 
 job_cleaner::job_cleaner(const relay_context& node) : context(node) {}
 
-void job_cleaner::examine(const jobs::job_state& state, store_revision revision)
+void job_cleaner::erase_if_expired(const jobs::job_state& state,
+                                   store_revision revision)
 {
     const std::int64_t age_ms = wall_clock_ms() - state.submitted_at_ms;
-    const bool is_old =
+    const bool is_expired =
         age_ms > to_milliseconds(this->context.settings.keep_results);
-    if (!is_old || this->under_way.size() >= max_under_way ||
+    if (!is_expired || this->erasing.size() >= max_concurrent_erasures ||
         preferred_owner(this->context.group, state.id).id !=
             this->context.group.own().id ||
-        !this->under_way.insert(state.id).second)
+        !this->erasing.insert(state.id).second)
     {
         return;
     }
@@ -43,7 +44,7 @@
         {
             if (outputs.has_error())
             {
-                this->under_way.erase(job);
+                this->erasing.erase(job);
                 return;
             }
             std::vector<std::string> keys;
@@ -64,7 +65,7 @@
         return;
     }
     key_value::record_transaction transaction;
-    while (!keys.empty() && transaction.erased.size() < max_erased)
+    while (!keys.empty() && transaction.erased.size() < max_erased_per_commit)
     {
         transaction.erased.push_back(std::move(keys.back()));
         keys.pop_back();
@@ -84,7 +85,7 @@
         job, std::move(transaction),
         [this, job]
         {
-            this->under_way.erase(job);
+            this->erasing.erase(job);
             log_event(log_level::info, "job_erased", {{"job", job.str()}});
         });
 }
@@ -94,7 +95,7 @@
                          std::function<void()> next)
 {
     this->context.store.commit(
-        std::move(transaction), commit_limit,
+        std::move(transaction), commit_timeout,
         [this, job, next = std::move(next)](
             const result<key_value::transaction_outcome>& outcome)
         {
@@ -107,7 +108,7 @@
                       {{"job", job.str()},
                        {"reason", outcome.has_error() ? outcome.error().message
                                                       : "it has changed"}});
-            this->under_way.erase(job);
+            this->erasing.erase(job);
         });
 }
 
--- a/src/relay/job_cleaner.hpp
+++ b/src/relay/job_cleaner.hpp
@@ -22,7 +22,8 @@
     /// this node.
     ///
     /// \param revision The revision of the job's state.
-    void examine(const jobs::job_state& state, store_revision revision);
+    void erase_if_expired(const jobs::job_state& state,
+                          store_revision revision);
 
 private:
     void erase_outputs(const job_id& job, store_revision revision,
@@ -32,7 +33,7 @@
                 std::function<void()> next);
 
     const relay_context& context;
-    std::set<job_id> under_way;
+    std::set<job_id> erasing;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_owner.cpp
+++ b/src/relay/job_owner.cpp
@@ -26,7 +26,7 @@
 constexpr duration urgent_before_due = std::chrono::seconds(4);
 /// Lost answers of a commit are followed up for so long before the outcomes
 /// are written by a new transaction.
-constexpr duration commit_limit = std::chrono::seconds(10);
+constexpr duration commit_timeout = std::chrono::seconds(10);
 /// Keeps an item that finds no usable replica from asking without a break.
 constexpr duration interruption_pause = std::chrono::milliseconds(30);
 constexpr duration retry_pause = std::chrono::milliseconds(300);
@@ -61,7 +61,7 @@
     *this->alive = false;
 }
 
-void job_owner::pump()
+void job_owner::start_items()
 {
     if (this->stopped || this->owned.state().is_finished())
     {
@@ -85,7 +85,7 @@
                    {"reason", route == nullptr ? "route_removed" : "expired"},
                    {"age_ms", age_ms}});
         this->return_running_items();
-        this->owned.give_up_waiting_items();
+        this->owned.abandon_waiting_items();
         this->commit();
         return;
     }
@@ -95,7 +95,7 @@
     }
     while (this->runs.size() < max_runs)
     {
-        const auto item = this->owned.take_item();
+        const auto item = this->owned.start_next_item();
         if (!item)
         {
             return;
@@ -110,18 +110,18 @@
     this->run_target = route.run_target;
     auto run = std::make_unique<item_run>(
         this->context, this->slots, input.items[item], input.host,
-        this->progress.of(item),
-        [this, item, most = route.max_attempts](item_end end,
-                                                const std::string& reason)
-        { this->take_item_end(item, end, reason, most); });
+        this->progress.progress_of(item),
+        [this, item, max_failures = route.max_attempts](
+            item_run_result end, const std::string& reason)
+        { this->handle_item_end(item, end, reason, max_failures); });
     item_run& started = *run;
     this->runs[item] = std::move(run);
     started.start(route.services.front().service, route.priority,
                   this->due_in());
 }
 
-void job_owner::take_item_end(std::size_t item, item_end end,
-                              const std::string& reason, int most_failures)
+void job_owner::handle_item_end(std::size_t item, item_run_result end,
+                                const std::string& reason, int max_failures)
 {
     // The run is the one whose callback this is.
     const auto run = this->runs.find(item);
@@ -130,29 +130,29 @@
         this->context.loop.free_later(std::move(run->second));
         this->runs.erase(run);
     }
-    const jobs::item_progress& known = this->progress.of(item);
+    const jobs::item_progress& known = this->progress.progress_of(item);
     const std::string& id = this->owned.input().items[item].id;
     const char* outcome = "completed";
     switch (end)
     {
-    case item_end::completed:
+    case item_run_result::completed:
         this->owned.complete_item(item, known.output);
         this->progress.erase(item);
         break;
-    case item_end::impossible:
+    case item_run_result::impossible:
         outcome = "impossible";
-        this->owned.give_up_item(item);
+        this->owned.abandon_item(item);
         this->progress.erase(item);
         break;
-    case item_end::failed:
+    case item_run_result::failed:
         outcome = "failed";
-        if (this->owned.fail_item(item, most_failures))
+        if (this->owned.fail_item(item, max_failures))
         {
             outcome = "given_up";
             this->progress.erase(item);
         }
         break;
-    case item_end::interrupted:
+    case item_run_result::interrupted:
         outcome = "interrupted";
         this->owned.return_item(item);
         break;
@@ -165,10 +165,11 @@
     this->context.metrics.count("parsleytrack_item_runs_total",
                                 {{"outcome", outcome}});
     this->commit_when_due();
-    const duration pause =
-        end == item_end::interrupted ? interruption_pause : duration::zero();
-    this->pump_timer =
-        this->context.loop.call_after(pause, [this] { this->pump(); });
+    const duration pause = end == item_run_result::interrupted
+                               ? interruption_pause
+                               : duration::zero();
+    this->start_timer =
+        this->context.loop.call_after(pause, [this] { this->start_items(); });
 }
 
 void job_owner::stop()
@@ -213,7 +214,7 @@
         this->commit();
         return;
     }
-    if (!std::exchange(this->commit_is_planned, true))
+    if (!std::exchange(this->commit_is_scheduled, true))
     {
         this->commit_timer = this->context.loop.call_after(
             commit_interval, [this] { this->commit(); });
@@ -222,27 +223,28 @@
 
 void job_owner::commit()
 {
-    this->commit_is_planned = false;
+    this->commit_is_scheduled = false;
     const usage_book::usage usage =
         this->usages.get(this->owned.input().route_name);
-    auto commit = this->owned.begin_commit(this->must_release(usage.waiting));
+    auto commit =
+        this->owned.begin_commit(this->must_release_tokens(usage.waiting));
     if (!commit)
     {
         return;
     }
-    const token_count left =
+    const token_count remaining =
         std::max(token_count(0), usage.waiting - commit->released_tokens);
     auto transaction =
-        transaction_of(*commit, usage_book::usage{left, usage.revision});
+        transaction_of(*commit, usage_book::usage{remaining, usage.revision});
     this->progress.add_to(transaction, net::event_loop::now());
     this->context.store.commit(
-        std::move(transaction), commit_limit,
+        std::move(transaction), commit_timeout,
         [this, observed = this->alive, commit = std::move(*commit),
-         left](const result<key_value::transaction_outcome>& outcome)
+         remaining](const result<key_value::transaction_outcome>& outcome)
         {
             if (*observed)
             {
-                this->take_commit(commit, left, outcome);
+                this->handle_commit_outcome(commit, remaining, outcome);
             }
         });
 }
@@ -256,7 +258,7 @@
     }
 }
 
-bool job_owner::must_release(token_count waiting) const
+bool job_owner::must_release_tokens(token_count waiting) const
 {
     const auto table = this->context.configuration.current();
     const routing::route* route =
@@ -275,7 +277,7 @@
                                      this->owned.input().submitted_at_ms);
 }
 
-void job_owner::take_commit(
+void job_owner::handle_commit_outcome(
     const jobs::job_commit& commit, token_count usage,
     const result<key_value::transaction_outcome>& outcome)
 {
@@ -302,7 +304,7 @@
         this->usages.set(commit.state.route_name, {usage, revision});
     }
     this->log_state("job_committed");
-    this->readers.answer();
+    this->readers.answer_ready();
     this->commit_when_due();
 }
 
@@ -313,34 +315,34 @@
     for (const key_value::stored_record& record : outcome.current)
     {
         if (record.key != job_state_key(commit.state.id) ||
-            record.revision == commit.expected)
+            record.revision == commit.expected_revision)
         {
             continue;
         }
         const auto state = jobs::decode_state(record.value);
         if (state.has_value() && state.value().owner == commit.state.owner &&
-            state.value().owner_life == commit.state.owner_life &&
+            state.value().owner_incarnation == commit.state.owner_incarnation &&
             state.value().outcomes == commit.state.outcomes)
         {
             // Its answer was lost.
             this->owned.commit_applied(commit, record.revision);
-            this->readers.answer();
+            this->readers.answer_ready();
             if (state.value().cancelled)
             {
-                this->take_record(record);
+                this->apply_record(record);
             }
             this->commit();
             return;
         }
         this->owned.commit_failed(commit);
-        this->take_record(record);
+        this->apply_record(record);
         return;
     }
     this->owned.commit_failed(commit);
     this->commit();
 }
 
-void job_owner::take_record(const key_value::stored_record& record)
+void job_owner::apply_record(const key_value::stored_record& record)
 {
     if (record.revision <= this->owned.revision())
     {
@@ -356,7 +358,7 @@
     const jobs::job_state& now = state.value();
     const bool still_owned =
         now.owner == this->owned.state().owner &&
-        now.owner_life == this->owned.state().owner_life &&
+        now.owner_incarnation == this->owned.state().owner_incarnation &&
         now.outcomes.size() == this->owned.state().outcomes.size();
     if (!still_owned)
     {
@@ -368,7 +370,7 @@
         this->lost_callback();
         return;
     }
-    this->owned.set_agreed(now, record.revision);
+    this->owned.set_committed(now, record.revision);
     if (now.cancelled)
     {
         this->end_runs();
--- a/src/relay/job_owner.hpp
+++ b/src/relay/job_owner.hpp
@@ -2,9 +2,9 @@
 
 #include "jobs/owned_job.hpp"
 #include "relay/item_run.hpp"
-#include "relay/page_readers.hpp"
-#include "relay/progress_record.hpp"
+#include "relay/progress_tracker.hpp"
 #include "relay/relay_context.hpp"
+#include "relay/result_readers.hpp"
 #include "relay/slot_client.hpp"
 #include "relay/usage_book.hpp"
 
@@ -35,21 +35,21 @@
     job_owner& operator=(const job_owner&) = delete;
 
     /// Starts items for which nothing runs yet; to be called now and then.
-    void pump();
+    void start_items();
 
     /// Ends all runs, for a planned stop. What they have received is kept for
     /// the next owner.
     void stop();
 
     /// Takes in the job's record as another node has written it.
-    void take_record(const key_value::stored_record& record);
+    void apply_record(const key_value::stored_record& record);
 
     /// Reads results.
     ///
     /// \param after Position of the first result.
     /// \param wait How long to wait for one when there is none.
     void read(std::size_t after, duration wait,
-              page_readers::page_callback callback)
+              result_readers::page_callback callback)
     {
         this->readers.read(after, wait, std::move(callback));
     }
@@ -60,15 +60,16 @@
     void end_runs();
     void return_running_items();
     void start_item(std::size_t item, const routing::route& route);
-    void take_item_end(std::size_t item, item_end end,
-                       const std::string& reason, int most_failures);
+    void handle_item_end(std::size_t item, item_run_result end,
+                         const std::string& reason, int max_failures);
     void commit_when_due();
     void commit();
-    bool must_release(token_count waiting) const;
+    bool must_release_tokens(token_count waiting) const;
     duration due_in() const;
     void save_progress();
-    void take_commit(const jobs::job_commit& commit, token_count usage,
-                     const result<key_value::transaction_outcome>& outcome);
+    void handle_commit_outcome(
+        const jobs::job_commit& commit, token_count usage,
+        const result<key_value::transaction_outcome>& outcome);
     void resolve_conflict(const jobs::job_commit& commit,
                           const key_value::transaction_outcome& outcome);
     void log_state(const char* event) const;
@@ -78,15 +79,15 @@
     usage_book& usages;
     jobs::owned_job owned;
     std::function<void()> lost_callback;
-    progress_record progress;
-    page_readers readers;
+    progress_tracker progress;
+    result_readers readers;
     std::map<std::size_t, std::unique_ptr<item_run>> runs;
     /// How long after its submission the job is due, by the newest route.
     duration run_target = duration::zero();
-    bool commit_is_planned = false;
+    bool commit_is_scheduled = false;
     net::timer commit_timer;
     net::timer retry_timer;
-    net::timer pump_timer;
+    net::timer start_timer;
     bool stopped = false;
     /// Outlives this object in callbacks of the store.
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/relay/job_peers.cpp
+++ b/src/relay/job_peers.cpp
@@ -26,13 +26,13 @@
     using exchange_pointer = std::shared_ptr<wire::peer_exchange>;
     this->context.peers.on_call(message_type::node_job_read,
                                 [this](const exchange_pointer& exchange)
-                                { this->answer_read(exchange); });
+                                { this->handle_read(exchange); });
     this->context.peers.on_call(message_type::node_job_news,
                                 [this](const exchange_pointer& exchange)
-                                { this->take_news(exchange); });
+                                { this->handle_change_notice(exchange); });
     this->context.peers.on_call(message_type::node_job_handover,
                                 [this](const exchange_pointer& exchange)
-                                { this->take_handover(exchange); });
+                                { this->handle_handover(exchange); });
 }
 
 void job_peers::hand_over(const jobs::job_input& input,
@@ -51,7 +51,7 @@
                wire::encode(message), "job_handover_lost", input.id);
 }
 
-void job_peers::tell_owner(const jobs::job_state& state)
+void job_peers::notify_owner(const jobs::job_state& state)
 {
     const auto owner = this->context.group.find(state.owner);
     if (!owner || owner->id == this->context.group.own().id)
@@ -65,20 +65,20 @@
 }
 
 void job_peers::call(const node_info& owner, wire::message_type type,
-                     const std::string& message, const char* lost_event,
+                     const std::string& message, const char* failure_event,
                      const job_id& job)
 {
     const std::uint64_t number = this->next_number++;
     this->calls[number] = this->context.peers.call(
         owner.peer, type, message, call_timeout,
         {{},
-         [this, number, lost_event, job,
+         [this, number, failure_event, job,
           name = owner.id](const result<std::string>& outcome)
          {
              if (outcome.has_error())
              {
                  // The owner's next look at the records finds it.
-                 log_event(log_level::info, lost_event,
+                 log_event(log_level::info, failure_event,
                            {{"job", job.str()},
                             {"owner", name.str()},
                             {"reason", outcome.error().message}});
@@ -87,7 +87,7 @@
          }});
 }
 
-void job_peers::take_handover(
+void job_peers::handle_handover(
     const std::shared_ptr<wire::peer_exchange>& exchange)
 {
     const auto message =
@@ -100,9 +100,9 @@
     auto input = jobs::decode_input(message.value().input);
     auto state = jobs::decode_state(message.value().state);
     const node_info& own = this->context.group.own();
-    if (input.has_error() || state.has_error() || !this->hooks.takes_jobs() ||
+    if (input.has_error() || state.has_error() || !this->hooks.accepts_jobs() ||
         state.value().owner != own.id ||
-        state.value().owner_life != own.started_as)
+        state.value().owner_incarnation != own.started_as)
     {
         exchange->fail(error{error_code::bad_request,
                              "this node cannot take the job",
@@ -116,18 +116,17 @@
     exchange->finish({});
 }
 
-void job_peers::answer_read(
+void job_peers::handle_read(
     const std::shared_ptr<wire::peer_exchange>& exchange)
 {
-    const auto question =
-        wire::decode<wire::node_job_read>(exchange->request());
-    if (question.has_error())
+    const auto request = wire::decode<wire::node_job_read>(exchange->request());
+    if (request.has_error())
     {
-        exchange->fail(question.error());
+        exchange->fail(request.error());
         return;
     }
-    job_owner* owner = this->hooks.find(job_id(question.value().job));
-    if (owner == nullptr || question.value().after < 0)
+    job_owner* owner = this->hooks.find(job_id(request.value().job));
+    if (owner == nullptr || request.value().after < 0)
     {
         exchange->fail(error{error_code::not_found,
                              "this node does not run the job",
@@ -135,13 +134,14 @@
                              {}});
         return;
     }
-    owner->read(static_cast<std::size_t>(question.value().after),
-                std::chrono::milliseconds(question.value().wait_ms),
+    owner->read(static_cast<std::size_t>(request.value().after),
+                std::chrono::milliseconds(request.value().wait_ms),
                 [exchange](const jobs::job_page& page)
                 { exchange->finish(jobs::encode(page)); });
 }
 
-void job_peers::take_news(const std::shared_ptr<wire::peer_exchange>& exchange)
+void job_peers::handle_change_notice(
+    const std::shared_ptr<wire::peer_exchange>& exchange)
 {
     const auto message = wire::decode<wire::node_job_news>(exchange->request());
     if (message.has_error())
--- a/src/relay/job_peers.hpp
+++ b/src/relay/job_peers.hpp
@@ -2,7 +2,7 @@
 
 #include "jobs/job_input.hpp"
 #include "jobs/owned_job.hpp"
-#include "relay/job_intake.hpp"
+#include "relay/job_acceptor.hpp"
 #include "relay/job_owner.hpp"
 #include "relay/relay_context.hpp"
 
@@ -24,7 +24,7 @@
         /// \returns The owner of a job that this node runs, otherwise null.
         std::function<job_owner*(const job_id&)> find;
         /// \returns Whether this node takes jobs over.
-        std::function<bool()> takes_jobs;
+        std::function<bool()> accepts_jobs;
         /// A job was handed to this node.
         std::function<void(jobs::owned_job)> on_handed_over;
         /// The record of a job that this node runs has changed.
@@ -38,15 +38,16 @@
     void hand_over(const jobs::job_input& input, const accepted_job& accepted);
 
     /// Tells the owner that a job's record has changed.
-    void tell_owner(const jobs::job_state& state);
+    void notify_owner(const jobs::job_state& state);
 
 private:
     void call(const node_info& owner, wire::message_type type,
-              const std::string& message, const char* lost_event,
+              const std::string& message, const char* failure_event,
               const job_id& job);
-    void take_handover(const std::shared_ptr<wire::peer_exchange>& exchange);
-    void answer_read(const std::shared_ptr<wire::peer_exchange>& exchange);
-    void take_news(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void handle_handover(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void handle_read(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void
+    handle_change_notice(const std::shared_ptr<wire::peer_exchange>& exchange);
 
     const relay_context& context;
     callbacks hooks;
--- a/src/relay/job_placement.cpp
+++ b/src/relay/job_placement.cpp
@@ -28,7 +28,7 @@
                    const jobs::job_state& state)
 {
     return !owner || owner->state == node_state::leaving ||
-           owner->started_as != state.owner_life;
+           owner->started_as != state.owner_incarnation;
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_reader.cpp
+++ b/src/relay/job_reader.cpp
@@ -21,14 +21,14 @@
 constexpr duration retry_after = std::chrono::milliseconds(500);
 constexpr std::size_t max_known_owners = 4096;
 
-error unreadable(const job_id& job)
+error read_failed(const job_id& job)
 {
     return error{error_code::store_unavailable,
                  "job " + job.str() + " cannot be read now", ran_state::no,
                  retry_after};
 }
 
-error no_such_item()
+error item_not_found()
 {
     return error{
         error_code::not_found, "there is no such item", ran_state::no, {}};
@@ -36,7 +36,8 @@
 
 /// \param bytes The record of a job's input.
 /// \returns The body of one of its items.
-result<std::string> body_of(const std::string& bytes, const std::string& item)
+result<std::string> find_item_body(const std::string& bytes,
+                                   const std::string& item)
 {
     auto input = jobs::decode_input(bytes);
     if (input.has_error())
@@ -50,7 +51,7 @@
             return std::move(entry.body);
         }
     }
-    return no_such_item();
+    return item_not_found();
 }
 
 } // namespace
@@ -60,93 +61,95 @@
 void job_reader::read(const job_id& job, std::size_t after, duration wait,
                       page_callback callback)
 {
-    const auto asked = std::make_shared<question>();
-    asked->job = job;
-    asked->after = after;
-    asked->wait = wait;
-    asked->callback = std::move(callback);
+    const auto request = std::make_shared<read_request>();
+    request->job = job;
+    request->after = after;
+    request->wait = wait;
+    request->callback = std::move(callback);
     const auto known = this->owners.find(job);
     const node_id owner = known != this->owners.end()
                               ? known->second
                               : preferred_owner(this->context.group, job).id;
-    if (!this->ask(asked, owner))
+    if (!this->send_to_node(request, owner))
     {
-        this->read_state(asked);
+        this->read_state(request);
     }
 }
 
-bool job_reader::ask(const shared_question& asked, const node_id& node)
+bool job_reader::send_to_node(const shared_request& request,
+                              const node_id& node)
 {
     const auto owner = this->context.group.find(node);
     if (!owner || owner->id == this->context.group.own().id ||
-        !asked->asked.insert(owner->id).second)
+        !request->queried_nodes.insert(owner->id).second)
     {
         return false;
     }
     wire::node_job_read message;
-    message.job = asked->job.str();
-    message.after = static_cast<std::int32_t>(asked->after);
-    message.wait_ms = to_milliseconds(asked->wait);
+    message.job = request->job.str();
+    message.after = static_cast<std::int32_t>(request->after);
+    message.wait_ms = to_milliseconds(request->wait);
     const std::uint64_t number = this->next_number++;
     this->calls[number] = this->context.peers.call(
         owner->peer, wire::message_type::node_job_read, wire::encode(message),
-        asked->wait + owner_margin,
+        request->wait + owner_margin,
         {{},
-         [this, number, asked,
-          name = owner->id](const result<std::string>& answer)
+         [this, number, request,
+          name = owner->id](const result<std::string>& response)
          {
              const auto call = std::move(this->calls[number]);
              this->calls.erase(number);
-             if (answer.has_value())
+             if (response.has_value())
              {
-                 auto page = jobs::decode_page(answer.value());
+                 auto page = jobs::decode_page(response.value());
                  if (page.has_value())
                  {
-                     asked->callback(std::move(page.value()));
+                     request->callback(std::move(page.value()));
                      return;
                  }
              }
-             log_event(log_level::debug, "job_owner_not_answering",
-                       {{"job", asked->job.str()},
-                        {"owner", name.str()},
-                        {"reason", answer.has_error() ? answer.error().message
-                                                      : "unreadable"}});
-             this->owners.erase(asked->job);
+             log_event(
+                 log_level::debug, "job_owner_not_answering",
+                 {{"job", request->job.str()},
+                  {"owner", name.str()},
+                  {"reason", response.has_error() ? response.error().message
+                                                  : "unreadable"}});
+             this->owners.erase(request->job);
              // The time to wait is used up.
-             asked->wait = duration::zero();
-             this->read_state(asked);
+             request->wait = duration::zero();
+             this->read_state(request);
          }});
     return true;
 }
 
-void job_reader::read_state(const shared_question& asked)
+void job_reader::read_state(const shared_request& request)
 {
     this->context.store.get(
-        job_state_key(asked->job), key_value::read_freshness::latest,
-        [this, asked](const result<key_value::stored_record>& record)
-        { this->take_state(asked, record); });
+        job_state_key(request->job), key_value::read_freshness::latest,
+        [this, request](const result<key_value::stored_record>& record)
+        { this->handle_state(request, record); });
 }
 
-void job_reader::take_state(const shared_question& asked,
-                            const result<key_value::stored_record>& record)
+void job_reader::handle_state(const shared_request& request,
+                              const result<key_value::stored_record>& record)
 {
     if (record.has_error())
     {
         log_event(
             log_level::warning, "job_read_failed",
-            {{"job", asked->job.str()}, {"reason", record.error().message}});
-        asked->callback(unreadable(asked->job));
+            {{"job", request->job.str()}, {"reason", record.error().message}});
+        request->callback(read_failed(request->job));
         return;
     }
     if (!record.value().exists())
     {
-        log_event(
-            log_level::info, "job_unknown",
-            {{"job", asked->job.str()}, {"asked_nodes", asked->asked.size()}});
-        asked->callback(error{error_code::not_found,
-                              "there is no job " + asked->job.str(),
-                              ran_state::no,
-                              {}});
+        log_event(log_level::info, "job_unknown",
+                  {{"job", request->job.str()},
+                   {"asked_nodes", request->queried_nodes.size()}});
+        request->callback(error{error_code::not_found,
+                                "there is no job " + request->job.str(),
+                                ran_state::no,
+                                {}});
         return;
     }
     const auto state = jobs::decode_state(record.value().value);
@@ -155,41 +158,42 @@
         log_event(
             log_level::error, "job_record_damaged",
             {{"key", record.value().key}, {"reason", state.error().message}});
-        asked->callback(unreadable(asked->job));
+        request->callback(read_failed(request->job));
         return;
     }
-    if (!state.value().is_finished() && this->ask(asked, state.value().owner))
+    if (!state.value().is_finished() &&
+        this->send_to_node(request, state.value().owner))
     {
         if (this->owners.size() >= max_known_owners)
         {
             this->owners.clear();
         }
-        this->owners[asked->job] = state.value().owner;
+        this->owners[request->job] = state.value().owner;
         return;
     }
-    if (asked->after >= state.value().outcomes.size())
+    if (request->after >= state.value().outcomes.size())
     {
-        asked->callback(jobs::job_page{state.value().item_count, {}});
+        request->callback(jobs::job_page{state.value().item_count, {}});
         return;
     }
-    this->read_outputs(asked, state.value().item_count);
+    this->read_outputs(request, state.value().item_count);
 }
 
-void job_reader::read_outputs(const shared_question& asked, std::size_t total)
+void job_reader::read_outputs(const shared_request& request, std::size_t total)
 {
     this->context.store.list(
-        job_output_prefix(asked->job), key_value::read_freshness::latest,
-        [asked, total](const result<key_value::record_listing>& outputs)
+        job_output_prefix(request->job), key_value::read_freshness::latest,
+        [request, total](const result<key_value::record_listing>& outputs)
         {
             if (outputs.has_error())
             {
-                asked->callback(unreadable(asked->job));
+                request->callback(read_failed(request->job));
                 return;
             }
             jobs::page_builder page(total, jobs::max_page_bytes);
             const auto& records = outputs.value().records;
-            for (std::size_t position = asked->after; position < records.size();
-                 ++position)
+            for (std::size_t position = request->after;
+                 position < records.size(); ++position)
             {
                 auto output = jobs::decode_output(records[position].value);
                 if (output.has_error())
@@ -197,7 +201,7 @@
                     log_event(log_level::error, "job_output_damaged",
                               {{"key", records[position].key},
                                {"reason", output.error().message}});
-                    asked->callback(unreadable(asked->job));
+                    request->callback(read_failed(request->job));
                     return;
                 }
                 if (!page.add(std::move(output.value())))
@@ -205,7 +209,7 @@
                     break;
                 }
             }
-            asked->callback(page.take());
+            request->callback(page.finish());
         });
 }
 
@@ -241,8 +245,8 @@
                 return;
             }
             callback(record.value().exists()
-                         ? body_of(record.value().value, item)
-                         : no_such_item());
+                         ? find_item_body(record.value().value, item)
+                         : item_not_found());
         });
 }
 
--- a/src/relay/job_reader.hpp
+++ b/src/relay/job_reader.hpp
@@ -42,22 +42,22 @@
 
 private:
     /// One read until it is answered.
-    struct question
+    struct read_request
     {
         job_id job;
         std::size_t after = 0;
         duration wait = duration::zero();
         page_callback callback;
         /// Nodes that did not have the job.
-        std::set<node_id> asked;
+        std::set<node_id> queried_nodes;
     };
-    using shared_question = std::shared_ptr<question>;
+    using shared_request = std::shared_ptr<read_request>;
 
-    bool ask(const shared_question& asked, const node_id& node);
-    void read_state(const shared_question& asked);
-    void take_state(const shared_question& asked,
-                    const result<key_value::stored_record>& record);
-    void read_outputs(const shared_question& asked, std::size_t total);
+    bool send_to_node(const shared_request& request, const node_id& node);
+    void read_state(const shared_request& request);
+    void handle_state(const shared_request& request,
+                      const result<key_value::stored_record>& record);
+    void read_outputs(const shared_request& request, std::size_t total);
     void read_body(const job_id& job, const std::string& item,
                    key_value::read_freshness freshness, body_callback callback);
 
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -21,12 +21,12 @@
 constexpr int status_accepted = 202;
 /// The caller's own limit is not told with a submission; it asks again after
 /// a few seconds.
-constexpr duration accept_patience = std::chrono::milliseconds(3500);
-constexpr duration longest_wait = std::chrono::milliseconds(1000);
+constexpr duration accept_timeout = std::chrono::milliseconds(3500);
+constexpr duration max_wait = std::chrono::milliseconds(1000);
 /// Retries of commits, deadlines of items, and drops of finished jobs.
-constexpr duration pump_interval = std::chrono::milliseconds(500);
+constexpr duration periodic_interval = std::chrono::milliseconds(500);
 /// How long the results of a finished job are served from memory.
-constexpr duration kept_in_memory = std::chrono::seconds(15);
+constexpr duration memory_retention = std::chrono::seconds(15);
 
 std::string describe(const result<accepted_job>& accepted)
 {
@@ -34,42 +34,42 @@
     {
         return "refused_" + std::string(to_string(accepted.error().code));
     }
-    return accepted.value().was_known ? "known" : "accepted";
+    return accepted.value().already_accepted ? "known" : "accepted";
 }
 
 } // namespace
 
 job_service::job_service(const relay_context& node, slot_client& slot_source)
-    : context(node), slots(slot_source), intake(node, this->usages),
+    : context(node), slots(slot_source), acceptor(node, this->usages),
       reader(node), cancellation(node, this->usages), cleaner(node),
       takeover(node,
                {[this](const job_id& job) { return this->owned.contains(job); },
                 [this](jobs::owned_job job, jobs::job_progress progress)
-                { this->own(std::move(job), std::move(progress)); },
+                { this->start_job(std::move(job), std::move(progress)); },
                 [this](const jobs::job_state& state, store_revision revision)
-                { this->cleaner.examine(state, revision); },
+                { this->cleaner.erase_if_expired(state, revision); },
                 [this](const key_value::stored_record& record)
                 {
                     const job_id job(
                         record.key.substr(job_state_prefix.size()));
-                    this->owned.at(job)->take_record(record);
+                    this->owned.at(job)->apply_record(record);
                 }}),
-      peers(node,
-            {[this](const job_id& job)
-             {
-                 const auto found = this->owned.find(job);
-                 return found == this->owned.end() ? nullptr
-                                                   : found->second.get();
-             },
-             [this] { return !this->stopped; },
-             [this](jobs::owned_job job) { this->own(std::move(job), {}); },
-             [this](const job_id& job)
-             {
-                 this->refresh(job);
-             }})
+      peers(node, {[this](const job_id& job)
+                   {
+                       const auto found = this->owned.find(job);
+                       return found == this->owned.end() ? nullptr
+                                                         : found->second.get();
+                   },
+                   [this] { return !this->stopped; },
+                   [this](jobs::owned_job job)
+                   { this->start_job(std::move(job), {}); },
+                   [this](const job_id& job)
+                   {
+                       this->refresh(job);
+                   }})
 {
-    this->pump_timer =
-        this->context.loop.call_every(pump_interval, [this] { this->pump(); });
+    this->periodic_timer = this->context.loop.call_every(
+        periodic_interval, [this] { this->run_periodic_tasks(); });
 }
 
 void job_service::submit(
@@ -113,11 +113,11 @@
                           }
                           input.items = std::move(items.value());
                           input.submitted_at_ms = wall_clock_ms();
-                          this->take_submission(exchange, input, route);
+                          this->handle_submission(exchange, input, route);
                       });
 }
 
-void job_service::take_submission(
+void job_service::handle_submission(
     const std::shared_ptr<net::http_exchange>& exchange,
     const jobs::job_input& input, const routing::route& route)
 {
@@ -134,15 +134,15 @@
         return;
     }
     const auto kept = std::make_shared<const jobs::job_input>(input);
-    this->intake.accept(
+    this->acceptor.accept(
         kept, preferred_owner(this->context.group, input.id),
-        route.waiting_tokens_limit, accept_patience,
+        route.waiting_tokens_limit, accept_timeout,
         [this, exchange, kept, received = net::event_loop::now()](
             const result<accepted_job>& accepted)
-        { this->take_acceptance(exchange, kept, received, accepted); });
+        { this->handle_acceptance(exchange, kept, received, accepted); });
 }
 
-void job_service::take_acceptance(
+void job_service::handle_acceptance(
     const std::shared_ptr<net::http_exchange>& exchange,
     std::shared_ptr<const jobs::job_input> input, time_point received,
     const result<accepted_job>& accepted)
@@ -178,30 +178,30 @@
         return;
     }
     const node_info& own = this->context.group.own();
-    if (state.owner == own.id && state.owner_life == own.started_as)
+    if (state.owner == own.id && state.owner_incarnation == own.started_as)
     {
-        this->own(jobs::owned_job(*input, state, accepted.value().revision, {}),
-                  {});
+        this->start_job(
+            jobs::owned_job(*input, state, accepted.value().revision, {}), {});
     }
-    else if (!accepted.value().was_known)
+    else if (!accepted.value().already_accepted)
     {
         this->peers.hand_over(*input, accepted.value());
     }
 }
 
-void job_service::take(const std::shared_ptr<net::http_exchange>& exchange,
-                       const job_call& call)
+void job_service::handle_call(
+    const std::shared_ptr<net::http_exchange>& exchange, const job_call& call)
 {
-    switch (call.what)
+    switch (call.requested)
     {
-    case job_call::kind::read_results:
+    case job_call::operation::read_results:
         this->read_results(exchange, call);
         return;
-    case job_call::kind::read_item_body:
+    case job_call::operation::read_item_body:
         this->read_body(exchange, call);
         return;
-    case job_call::kind::end:
-        this->end_job(exchange, call);
+    case job_call::operation::cancel:
+        this->cancel_job(exchange, call);
         return;
     }
 }
@@ -218,7 +218,7 @@
         std::int64_t count = 0;
         std::from_chars(text->data(), text->data() + text->size(), count);
         wait = std::clamp<duration>(std::chrono::milliseconds(count),
-                                    duration::zero(), longest_wait);
+                                    duration::zero(), max_wait);
     }
     const auto respond =
         [this, exchange, after = call.after](const jobs::job_page& page)
@@ -262,8 +262,8 @@
         });
 }
 
-void job_service::end_job(const std::shared_ptr<net::http_exchange>& exchange,
-                          const job_call& call)
+void job_service::cancel_job(
+    const std::shared_ptr<net::http_exchange>& exchange, const job_call& call)
 {
     this->cancellation.cancel(
         call.job,
@@ -285,7 +285,7 @@
                 this->refresh(call.job);
                 return;
             }
-            this->peers.tell_owner(state.value());
+            this->peers.notify_owner(state.value());
         });
 }
 
@@ -309,11 +309,11 @@
                                                    : "it is missing"}});
                 return;
             }
-            found->second->take_record(record.value());
+            found->second->apply_record(record.value());
         });
 }
 
-void job_service::own(jobs::owned_job job, jobs::job_progress progress)
+void job_service::start_job(jobs::owned_job job, jobs::job_progress progress)
 {
     const job_id id = job.input().id;
     if (this->stopped || this->owned.contains(id))
@@ -327,7 +327,7 @@
         { this->context.loop.post([this, id] { this->owned.erase(id); }); });
     job_owner& started = *owner;
     this->owned[id] = std::move(owner);
-    started.pump();
+    started.start_items();
 }
 
 std::vector<const jobs::owned_job*> job_service::owned_jobs() const
@@ -340,20 +340,20 @@
     return list;
 }
 
-void job_service::pump()
+void job_service::run_periodic_tasks()
 {
     const time_point now = net::event_loop::now();
     for (const auto& [id, owner] : this->owned)
     {
-        owner->pump();
+        owner->start_items();
         if (owner->job().state().is_finished())
         {
-            this->dropped_at.emplace(
-                id, now + std::min(kept_in_memory,
+            this->evict_at.emplace(
+                id, now + std::min(memory_retention,
                                    this->context.settings.keep_results));
         }
     }
-    std::erase_if(this->dropped_at,
+    std::erase_if(this->evict_at,
                   [this, now](const auto& entry)
                   {
                       if (now < entry.second)
@@ -375,7 +375,7 @@
     }
     // Other nodes run these jobs now and have their newest results.
     this->owned.clear();
-    this->dropped_at.clear();
+    this->evict_at.clear();
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_service.hpp
+++ b/src/relay/job_service.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "net/http_exchange.hpp"
+#include "relay/job_acceptor.hpp"
 #include "relay/job_call.hpp"
 #include "relay/job_cancellation.hpp"
 #include "relay/job_cleaner.hpp"
-#include "relay/job_intake.hpp"
 #include "relay/job_owner.hpp"
 #include "relay/job_peers.hpp"
 #include "relay/job_reader.hpp"
@@ -36,8 +36,8 @@
                 const routing::route& route);
 
     /// Takes a call about a job that was accepted before.
-    void take(const std::shared_ptr<net::http_exchange>& exchange,
-              const job_call& call);
+    void handle_call(const std::shared_ptr<net::http_exchange>& exchange,
+                     const job_call& call);
 
     /// \returns The jobs that this node runs, or ran a moment ago.
     std::vector<const jobs::owned_job*> owned_jobs() const;
@@ -46,27 +46,27 @@
     void stop();
 
 private:
-    void take_submission(const std::shared_ptr<net::http_exchange>& exchange,
-                         const jobs::job_input& input,
-                         const routing::route& route);
-    void take_acceptance(const std::shared_ptr<net::http_exchange>& exchange,
-                         std::shared_ptr<const jobs::job_input> input,
-                         time_point received,
-                         const result<accepted_job>& accepted);
+    void handle_submission(const std::shared_ptr<net::http_exchange>& exchange,
+                           const jobs::job_input& input,
+                           const routing::route& route);
+    void handle_acceptance(const std::shared_ptr<net::http_exchange>& exchange,
+                           std::shared_ptr<const jobs::job_input> input,
+                           time_point received,
+                           const result<accepted_job>& accepted);
     void read_results(const std::shared_ptr<net::http_exchange>& exchange,
                       const job_call& call);
     void read_body(const std::shared_ptr<net::http_exchange>& exchange,
                    const job_call& call);
-    void end_job(const std::shared_ptr<net::http_exchange>& exchange,
-                 const job_call& call);
+    void cancel_job(const std::shared_ptr<net::http_exchange>& exchange,
+                    const job_call& call);
     void refresh(const job_id& job);
-    void own(jobs::owned_job job, jobs::job_progress progress);
-    void pump();
+    void start_job(jobs::owned_job job, jobs::job_progress progress);
+    void run_periodic_tasks();
 
     const relay_context& context;
     slot_client& slots;
     usage_book usages;
-    job_intake intake;
+    job_acceptor acceptor;
     job_reader reader;
     job_cancellation cancellation;
     job_cleaner cleaner;
@@ -74,8 +74,8 @@
     job_peers peers;
     std::map<job_id, std::unique_ptr<job_owner>> owned;
     /// When a finished job is dropped from memory; it stays in the store.
-    std::map<job_id, time_point> dropped_at;
-    net::timer pump_timer;
+    std::map<job_id, time_point> evict_at;
+    net::timer periodic_timer;
     bool stopped = false;
 };
 
--- a/src/relay/job_takeover.cpp
+++ b/src/relay/job_takeover.cpp
@@ -18,10 +18,10 @@
 /// is found to be gone. The reads may be stale and cost the store little.
 constexpr duration scan_interval = std::chrono::seconds(2);
 /// After a change of the other nodes, several of which may change at once.
-constexpr duration scan_after_change = std::chrono::milliseconds(150);
+constexpr duration change_scan_delay = std::chrono::milliseconds(150);
 /// A node that has just started does not know yet who else lives.
-constexpr duration settling_time = std::chrono::seconds(2);
-constexpr duration commit_limit = std::chrono::seconds(5);
+constexpr duration startup_delay = std::chrono::seconds(2);
+constexpr duration commit_timeout = std::chrono::seconds(5);
 
 } // namespace
 
@@ -29,8 +29,8 @@
     : context(node), hooks(std::move(listener)), started(net::event_loop::now())
 {
     this->context.group.on_change([this]
-                                  { this->schedule(scan_after_change); });
-    this->schedule(settling_time);
+                                  { this->schedule(change_scan_delay); });
+    this->schedule(startup_delay);
 }
 
 void job_takeover::stop()
@@ -51,9 +51,9 @@
 
 void job_takeover::scan()
 {
-    if (net::event_loop::now() - this->started < settling_time)
+    if (net::event_loop::now() - this->started < startup_delay)
     {
-        this->schedule(settling_time);
+        this->schedule(startup_delay);
         return;
     }
     this->scanning = true;
@@ -94,28 +94,28 @@
         this->hooks.on_finished(state.value(), record.revision);
         return;
     }
-    if (this->under_way.contains(job))
+    if (this->claims_in_progress.contains(job))
     {
         return;
     }
     const node_info& own = this->context.group.own();
     if (state.value().owner == own.id &&
-        state.value().owner_life == own.started_as)
+        state.value().owner_incarnation == own.started_as)
     {
         // A write of this node whose answer was lost, or a takeover that
         // could not be finished.
-        this->under_way.insert(job);
+        this->claims_in_progress.insert(job);
         this->load(state.value(), record.revision);
         return;
     }
-    if (!this->falls_to_this_node(state.value()))
+    if (!this->should_claim(state.value()))
     {
         return;
     }
-    this->take(std::move(state.value()), record.revision);
+    this->claim(std::move(state.value()), record.revision);
 }
 
-bool job_takeover::falls_to_this_node(const jobs::job_state& state) const
+bool job_takeover::should_claim(const jobs::job_state& state) const
 {
     if (!is_owner_gone(this->context.group.find(state.owner), state))
     {
@@ -125,17 +125,17 @@
            this->context.group.own().id;
 }
 
-void job_takeover::take(jobs::job_state state, store_revision revision)
+void job_takeover::claim(jobs::job_state state, store_revision revision)
 {
-    this->under_way.insert(state.id);
+    this->claims_in_progress.insert(state.id);
     const node_id previous = state.owner;
     state.owner = this->context.group.own().id;
-    state.owner_life = this->context.group.own().started_as;
+    state.owner_incarnation = this->context.group.own().started_as;
     key_value::record_transaction transaction;
     transaction.conditions = {{job_state_key(state.id), revision}};
     transaction.puts = {{job_state_key(state.id), jobs::encode(state)}};
     this->context.store.commit(
-        std::move(transaction), commit_limit,
+        std::move(transaction), commit_timeout,
         [this, state,
          previous](const result<key_value::transaction_outcome>& outcome)
         {
@@ -243,17 +243,18 @@
                     {{"job", id.str()}, {"reason", progress.error().message}});
                 progress = jobs::job_progress();
             }
-            this->under_way.erase(id);
-            this->hooks.on_taken(std::move(*job), std::move(progress.value()));
+            this->claims_in_progress.erase(id);
+            this->hooks.on_taken_over(std::move(*job),
+                                      std::move(progress.value()));
         });
 }
 
 void job_takeover::abandon(const job_id& job, const char* step,
-                           const std::string& why)
+                           const std::string& reason)
 {
-    this->under_way.erase(job);
+    this->claims_in_progress.erase(job);
     log_event(log_level::warning, "job_takeover_abandoned",
-              {{"job", job.str()}, {"step", step}, {"reason", why}});
+              {{"job", job.str()}, {"step", step}, {"reason", reason}});
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/job_takeover.hpp
+++ b/src/relay/job_takeover.hpp
@@ -21,7 +21,7 @@
         /// \returns Whether this node runs the job already.
         std::function<bool(const job_id&)> is_owned;
         /// A job has been taken over.
-        std::function<void(jobs::owned_job, jobs::job_progress)> on_taken;
+        std::function<void(jobs::owned_job, jobs::job_progress)> on_taken_over;
         /// A job that no node runs any more.
         std::function<void(const jobs::job_state&, store_revision)> on_finished;
         /// A record of a job that this node runs.
@@ -38,18 +38,19 @@
     void schedule(duration delay);
     void scan();
     void examine(const key_value::stored_record& record);
-    bool falls_to_this_node(const jobs::job_state& state) const;
-    void take(jobs::job_state state, store_revision revision);
+    bool should_claim(const jobs::job_state& state) const;
+    void claim(jobs::job_state state, store_revision revision);
     void load(const jobs::job_state& state, store_revision revision);
     void load_outputs(const jobs::job_state& state, store_revision revision,
                       const jobs::job_input& input);
     void load_progress(const std::shared_ptr<jobs::owned_job>& job);
-    void abandon(const job_id& job, const char* step, const std::string& why);
+    void abandon(const job_id& job, const char* step,
+                 const std::string& reason);
 
     const relay_context& context;
     callbacks hooks;
     /// Jobs that are being taken over.
-    std::set<job_id> under_way;
+    std::set<job_id> claims_in_progress;
     time_point started;
     bool scanning = false;
     bool stopped = false;
--- a/src/relay/job_transaction.cpp
+++ b/src/relay/job_transaction.cpp
@@ -12,7 +12,7 @@
     const job_id& job = commit.state.id;
     const std::string usage_key = job_usage_key(commit.state.route_name);
     key_value::record_transaction transaction;
-    transaction.conditions = {{job_state_key(job), commit.expected}};
+    transaction.conditions = {{job_state_key(job), commit.expected_revision}};
     transaction.puts = {{job_state_key(job), jobs::encode(commit.state)}};
     if (commit.released_tokens > token_count(0))
     {
--- a/src/relay/progress_record.cpp
+++ b/src/relay/progress_tracker.cpp
@@ -1,4 +1,4 @@
-#include "relay/progress_record.hpp"
+#include "relay/progress_tracker.hpp"
 
 #include "jobs/job_codec.hpp"
 #include "logging/log.hpp"
@@ -19,29 +19,29 @@
 /// dies has not written is run again.
 constexpr duration save_interval = std::chrono::milliseconds(2500);
 /// Progress that cannot be written soon is out of date.
-constexpr duration save_limit = std::chrono::seconds(1);
+constexpr duration save_timeout = std::chrono::seconds(1);
 /// A quarter of the store's largest value.
-constexpr std::size_t max_bytes = 256 * 1024;
+constexpr std::size_t max_record_bytes = 256 * 1024;
 
 } // namespace
 
-progress_record::progress_record(job_id owner, jobs::job_progress known,
-                                 time_point now)
+progress_tracker::progress_tracker(job_id owner, jobs::job_progress known,
+                                   time_point now)
     : job(std::move(owner)), items(std::move(known)),
       next_save(now + save_interval)
 {
-    this->saved_events = this->events();
+    this->saved_events = this->total_events();
 }
 
-bool progress_record::has_news() const
+bool progress_tracker::has_unsaved() const
 {
-    return this->events() != this->saved_events;
+    return this->total_events() != this->saved_events;
 }
 
-void progress_record::save(key_value::record_client& store,
-                           store_revision revision)
+void progress_tracker::save(key_value::record_client& store,
+                            store_revision revision)
 {
-    if (!this->has_news())
+    if (!this->has_unsaved())
     {
         return;
     }
@@ -49,7 +49,7 @@
     transaction.conditions = {{job_state_key(this->job), revision}};
     this->add_to(transaction, net::event_loop::now());
     store.commit(
-        std::move(transaction), save_limit,
+        std::move(transaction), save_timeout,
         [job = this->job](const result<key_value::transaction_outcome>& outcome)
         {
             if (outcome.has_error() || !outcome.value().applied)
@@ -63,15 +63,15 @@
         });
 }
 
-void progress_record::add_to(key_value::record_transaction& transaction,
-                             time_point now)
+void progress_tracker::add_to(key_value::record_transaction& transaction,
+                              time_point now)
 {
     jobs::job_progress kept;
     std::size_t bytes = 0;
     for (const auto& [item, known] : this->items)
     {
         bytes += known.output.size();
-        if (known.last_event > 0 && bytes <= max_bytes)
+        if (known.last_event > 0 && bytes <= max_record_bytes)
         {
             kept.emplace(item, known);
         }
@@ -85,11 +85,11 @@
     {
         transaction.erased.push_back(key);
     }
-    this->saved_events = this->events();
+    this->saved_events = this->total_events();
     this->next_save = now + save_interval;
 }
 
-std::int64_t progress_record::events() const
+std::int64_t progress_tracker::total_events() const
 {
     std::int64_t events = 0;
     for (const auto& [item, known] : this->items)
--- a/src/relay/progress_record.hpp
+++ b/src/relay/progress_tracker.hpp
@@ -12,15 +12,18 @@
 {
 
 /// What a job's items have received so far, and how much of it the store knows.
-class progress_record
+class progress_tracker
 {
 public:
     /// \param job The job.
     /// \param known What the store knows.
-    progress_record(job_id job, jobs::job_progress known, time_point now);
+    progress_tracker(job_id job, jobs::job_progress known, time_point now);
 
     /// \returns Progress of an item; new for one that has none.
-    jobs::item_progress& of(std::size_t item) { return this->items[item]; }
+    jobs::item_progress& progress_of(std::size_t item)
+    {
+        return this->items[item];
+    }
 
     /// The item has ended.
     void erase(std::size_t item) { this->items.erase(item); }
@@ -39,10 +42,10 @@
     void add_to(key_value::record_transaction& transaction, time_point now);
 
     /// \returns Whether the store does not know all of it.
-    bool has_news() const;
+    bool has_unsaved() const;
 
 private:
-    std::int64_t events() const;
+    std::int64_t total_events() const;
 
     job_id job;
     jobs::job_progress items;
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -195,7 +195,7 @@
     const net::http_request_head& head = exchange->head();
     if (const auto call = this->dialect.read_job_call(head))
     {
-        this->jobs.take(exchange, *call);
+        this->jobs.handle_call(exchange, *call);
         return;
     }
     const std::string* host = net::find_header(head.headers, "Host");
--- a/src/relay/page_readers.cpp
+++ b/src/relay/result_readers.cpp
@@ -1,4 +1,4 @@
-#include "relay/page_readers.hpp"
+#include "relay/result_readers.hpp"
 
 #include <iterator>
 #include <utility>
@@ -6,8 +6,8 @@
 namespace parsleytrack::relay
 {
 
-void page_readers::read(std::size_t after, duration wait,
-                        page_callback callback)
+void result_readers::read(std::size_t after, duration wait,
+                          page_callback callback)
 {
     const jobs::job_page first = this->page(after);
     if (!first.results.empty() || wait <= duration::zero() ||
@@ -29,7 +29,7 @@
                               });
 }
 
-void page_readers::answer()
+void result_readers::answer_ready()
 {
     for (auto entry = this->waiting.begin(); entry != this->waiting.end();)
     {
@@ -45,7 +45,7 @@
     }
 }
 
-void page_readers::answer_all()
+void result_readers::answer_all()
 {
     for (const reader& entry : std::exchange(this->waiting, {}))
     {
--- a/src/relay/page_readers.hpp
+++ b/src/relay/result_readers.hpp
@@ -11,13 +11,13 @@
 {
 
 /// Readers of one job's results that wait until there are any.
-class page_readers
+class result_readers
 {
 public:
     using page_callback = std::function<void(const jobs::job_page&)>;
 
     /// \param event_loop Outlives this object, as does the job.
-    page_readers(net::event_loop& event_loop, const jobs::owned_job& read_job)
+    result_readers(net::event_loop& event_loop, const jobs::owned_job& read_job)
         : loop(event_loop), job(read_job)
     {
     }
@@ -30,7 +30,7 @@
     void read(std::size_t after, duration wait, page_callback callback);
 
     /// Answers those for whom there are results now, or never will be.
-    void answer();
+    void answer_ready();
 
     /// Answers all with what there is.
     void answer_all();
--- a/tests/jobs/owned_job_test.cpp
+++ b/tests/jobs/owned_job_test.cpp
@@ -54,9 +54,9 @@
     }
 };
 
-TEST(owned_job, results_are_read_once_they_are_agreed)
+TEST(owned_job, results_are_readable_only_after_commit)
 {
-    const std::size_t item = *this->job.take_item();
+    const std::size_t item = *this->job.start_next_item();
     this->job.complete_item(item, "text");
     CHECK(this->job.page(0, 1000).results.empty());
     this->commit();
@@ -66,11 +66,11 @@
     STRCMP_EQUAL("text", page.results[0].output.c_str());
 }
 
-TEST(owned_job, an_unapplied_commit_keeps_order_and_outputs)
+TEST(owned_job, a_failed_commit_keeps_order_and_outputs)
 {
     for (int count = 0; count < 2; ++count)
     {
-        const std::size_t item = *this->job.take_item();
+        const std::size_t item = *this->job.start_next_item();
         this->job.complete_item(item, "text" + std::to_string(item));
     }
     const auto lost = this->job.begin_commit(false);
@@ -86,24 +86,24 @@
 
 TEST(owned_job, tokens_are_released_with_the_last_outcome_or_on_demand)
 {
-    this->job.complete_item(*this->job.take_item(), "a");
+    this->job.complete_item(*this->job.start_next_item(), "a");
     const auto first = this->job.begin_commit(false);
     CHECK_EQUAL(0, first->released_tokens.count());
     this->job.commit_applied(*first, store_revision(2));
-    this->job.complete_item(*this->job.take_item(), "b");
+    this->job.complete_item(*this->job.start_next_item(), "b");
     const auto second = this->job.begin_commit(true);
     CHECK_EQUAL(200, second->released_tokens.count());
     this->job.commit_applied(*second, store_revision(3));
-    this->job.complete_item(*this->job.take_item(), "c");
-    this->job.complete_item(*this->job.take_item(), "d");
+    this->job.complete_item(*this->job.start_next_item(), "c");
+    this->job.complete_item(*this->job.start_next_item(), "d");
     const auto last = this->job.begin_commit(false);
     CHECK_EQUAL(200, last->released_tokens.count());
     CHECK(last->state.is_finished());
 }
 
-TEST(owned_job, an_item_is_given_up_after_its_failures)
+TEST(owned_job, an_item_is_abandoned_after_max_failures)
 {
-    const std::size_t item = *this->job.take_item();
+    const std::size_t item = *this->job.start_next_item();
     CHECK_FALSE(this->job.fail_item(item, 2));
     CHECK(this->job.fail_item(item, 2));
     CHECK(this->job.has_uncommitted_failure());
@@ -111,35 +111,36 @@
     CHECK_FALSE(this->job.page(0, 1000).results.at(0).completed);
 }
 
-TEST(owned_job, nothing_starts_once_the_job_is_cancelled)
+TEST(owned_job, a_cancelled_job_starts_and_commits_nothing)
 {
     job_state cancelled = this->job.state();
     cancelled.cancelled = true;
-    this->job.set_agreed(cancelled, store_revision(9));
-    CHECK_FALSE(this->job.take_item().has_value());
+    this->job.set_committed(cancelled, store_revision(9));
+    CHECK_FALSE(this->job.start_next_item().has_value());
     this->job.complete_item(0, "late");
     CHECK_FALSE(this->job.begin_commit(false).has_value());
 }
 
-TEST(owned_job, a_successor_goes_on_with_what_has_no_outcome)
+TEST(owned_job, a_new_owner_runs_only_items_without_outcome)
 {
     job_state state = make_state(3);
     state.outcomes = {item_outcome{1, true}};
-    owned_job taken(make_input(3), state, store_revision(5), {"one"});
-    std::set<std::size_t> left;
-    while (const auto item = taken.take_item())
+    owned_job successor(make_input(3), state, store_revision(5), {"one"});
+    std::set<std::size_t> remaining;
+    while (const auto item = successor.start_next_item())
     {
-        left.insert(*item);
+        remaining.insert(*item);
     }
-    CHECK(left == (std::set<std::size_t>{0, 2}));
-    STRCMP_EQUAL("one", taken.page(0, 1000).results.at(0).output.c_str());
+    CHECK(remaining == (std::set<std::size_t>{0, 2}));
+    STRCMP_EQUAL("one", successor.page(0, 1000).results.at(0).output.c_str());
 }
 
-TEST(owned_job, a_page_is_bounded_and_never_empty_when_results_exist)
+TEST(owned_job, a_page_is_limited_but_holds_at_least_one_result)
 {
     for (int count = 0; count < 4; ++count)
     {
-        this->job.complete_item(*this->job.take_item(), std::string(100, 'x'));
+        this->job.complete_item(*this->job.start_next_item(),
+                                std::string(100, 'x'));
     }
     this->commit();
     CHECK_EQUAL(1, this->job.page(0, 10).results.size());
@@ -164,7 +165,7 @@
             switch (random() % 4)
             {
             case 0:
-                if (const auto item = run.take_item())
+                if (const auto item = run.start_next_item())
                 {
                     running.push_back(*item);
                 }
@@ -210,9 +211,9 @@
             }
             const job_page page = run.page(0, 1'000'000);
             CHECK(page.results.size() >= read.size());
-            for (std::size_t place = 0; place < read.size(); ++place)
+            for (std::size_t position = 0; position < read.size(); ++position)
             {
-                CHECK(page.results[place].item == read[place]);
+                CHECK(page.results[position].item == read[position]);
             }
             read.clear();
             std::set<std::string> once;
@@ -229,7 +230,7 @@
 
 TEST_GROUP(job_codec){};
 
-TEST(job_codec, records_are_read_as_they_were_written)
+TEST(job_codec, decoding_returns_the_encoded_record)
 {
     job_input input = make_input(2);
     input.items[0].headers = {{"A", "b"}};
@@ -246,7 +247,7 @@
     CHECK(again.value().cancelled);
 }
 
-TEST(job_codec, damaged_records_are_refused)
+TEST(job_codec, damaged_records_are_rejected)
 {
     job_state state = make_state(1);
     state.outcomes = {item_outcome{7, true}};
--- a/tests/platform/job_translation_test.cpp
+++ b/tests/platform/job_translation_test.cpp
@@ -62,11 +62,11 @@
     net::http_request_head read = head("GET", "/v1/lots/7c");
     read.query["after"] = "12";
     const auto results = decode_job_call(read);
-    CHECK(results->what == relay::job_call::kind::read_results);
+    CHECK(results->requested == relay::job_call::operation::read_results);
     CHECK_EQUAL(12, results->after);
     STRCMP_EQUAL("7c", results->job.str().c_str());
-    CHECK(decode_job_call(head("DELETE", "/v1/lots/7c"))->what ==
-          relay::job_call::kind::end);
+    CHECK(decode_job_call(head("DELETE", "/v1/lots/7c"))->requested ==
+          relay::job_call::operation::cancel);
     CHECK_FALSE(decode_job_call(head("POST", "/v1/lots/7c")).has_value());
     CHECK_FALSE(decode_job_call(head("GET", "/v1/items/7c")).has_value());
     net::http_request_head body = head("GET", "/v1/items/7c");
--- a/tests/relay/job_placement_test.cpp
+++ b/tests/relay/job_placement_test.cpp
@@ -16,7 +16,7 @@
         this->owner.incarnation = incarnation_number(1000);
         this->owner.started_as = incarnation_number(1000);
         this->state.owner = this->owner.id;
-        this->state.owner_life = incarnation_number(1000);
+        this->state.owner_incarnation = incarnation_number(1000);
     }
 };
 
--- /dev/null
+++ b/tests/relay/progress_tracker_test.cpp
@@ -0,0 +1,71 @@
+#include "jobs/job_codec.hpp"
+#include "relay/job_keys.hpp"
+#include "relay/progress_tracker.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace parsleytrack;
+using namespace parsleytrack::relay;
+
+TEST_GROUP(progress_tracker)
+{
+    time_point now = time_point() + std::chrono::hours(1);
+    progress_tracker tracker{job_id("j"), {}, this->now};
+
+    key_value::record_transaction save()
+    {
+        key_value::record_transaction transaction;
+        this->tracker.add_to(transaction, this->now);
+        return transaction;
+    }
+};
+
+TEST(progress_tracker, writes_what_is_new_once)
+{
+    CHECK_FALSE(this->tracker.has_unsaved());
+    this->tracker.progress_of(3) = jobs::item_progress{5, "text"};
+    CHECK(this->tracker.has_unsaved());
+    const auto written = this->save();
+    CHECK_EQUAL(1, written.puts.size());
+    STRCMP_EQUAL(job_progress_key(job_id("j")).c_str(),
+                 written.puts[0].key.c_str());
+    const auto read = jobs::decode_progress(written.puts[0].value);
+    CHECK(read.value().at(3) == this->tracker.progress_of(3));
+    CHECK_FALSE(this->tracker.has_unsaved());
+}
+
+TEST(progress_tracker, waits_between_two_writes)
+{
+    this->tracker.progress_of(1) = jobs::item_progress{1, "a"};
+    CHECK_FALSE(this->tracker.is_due(this->now));
+    this->now += std::chrono::seconds(3);
+    CHECK(this->tracker.is_due(this->now));
+    this->save();
+    CHECK_FALSE(this->tracker.is_due(this->now));
+}
+
+TEST(progress_tracker, is_erased_once_no_item_needs_it)
+{
+    this->tracker.progress_of(1) = jobs::item_progress{1, "a"};
+    this->save();
+    this->tracker.erase(1);
+    const auto last = this->save();
+    CHECK(last.puts.empty());
+    CHECK_EQUAL(1, last.erased.size());
+    CHECK(this->save().erased.empty());
+}
+
+TEST(progress_tracker, what_an_earlier_owner_has_written_is_no_news)
+{
+    const progress_tracker taken(job_id("j"), {{2, {7, "seven"}}}, this->now);
+    CHECK_FALSE(taken.has_unsaved());
+}
+
+TEST(progress_tracker, is_bounded)
+{
+    const std::string large(200 * 1024, 'x');
+    this->tracker.progress_of(1) = jobs::item_progress{1, large};
+    this->tracker.progress_of(2) = jobs::item_progress{1, large};
+    const auto read = jobs::decode_progress(this->save().puts[0].value);
+    CHECK_EQUAL(1, read.value().size());
+}
