--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -198,7 +198,7 @@
     const net::http_request_head& head = exchange->head();
     if (const auto call = this->adapter.read_job_call(head))
     {
-        this->jobs.take(exchange, *call);
+        this->jobs.handle_call(exchange, *call);
         return;
     }
     const std::string* host = net::find_header(head.headers, "Host");
