--- a/src/decisions/gate.cpp
+++ b/src/decisions/gate.cpp
@@ -52,7 +52,7 @@
     if (!this->health.usable(now))
     {
         this->commands.push_back(refuse_work{work.id, error_code::no_replica,
-                                             this->health.paused_end() - now});
+                                             this->health.retry_at() - now});
         return;
     }
     const int usable = std::max(1, this->options.slots - this->foreign.count());
@@ -125,7 +125,7 @@
     const running_set::entry ended = this->running.remove(id);
     if (how == work_end::completed)
     {
-        this->health.success();
+        this->health.record_success();
         this->hear(now);
         if (ended.work.kind == work_class::online)
         {
@@ -134,11 +134,11 @@
     }
     if (how == work_end::timed_out)
     {
-        this->health.fall_silent(now);
+        this->health.mark_unresponsive(now);
     }
     if (how == work_end::failed || how == work_end::timed_out)
     {
-        this->health.failure(now);
+        this->health.record_failure(now);
         if (ended.work.kind == work_class::batch)
         {
             this->batch_held_until = now + this->options.batch_failure_hold;
@@ -218,7 +218,7 @@
 void gate::hear(time_point now)
 {
     this->last_heard = now;
-    this->health.sign_of_life();
+    this->health.mark_responsive();
 }
 
 void gate::tick(time_point now)
@@ -226,7 +226,7 @@
     if (!this->running.empty() &&
         now - this->last_heard >= this->options.silence_limit)
     {
-        this->health.fall_silent(now);
+        this->health.mark_unresponsive(now);
     }
     this->pump(now);
 }
@@ -305,7 +305,8 @@
     {
         return;
     }
-    if (this->health.allowed(this->options.slots, now) < this->options.slots)
+    if (this->health.allowed_slots(this->options.slots, now) <
+        this->options.slots)
     {
         return;
     }
@@ -385,7 +386,7 @@
     const duration wait =
         std::max(closed_retry_after, this->health.usable(now)
                                          ? duration::zero()
-                                         : this->health.paused_end() - now);
+                                         : this->health.retry_at() - now);
     for (const gate_work& work : this->online.take_all())
     {
         this->commands.push_back(refuse_work{work.id, reason, wait});
--- a/src/decisions/gate_inspection.cpp
+++ b/src/decisions/gate_inspection.cpp
@@ -21,7 +21,7 @@
         }
     };
     consider(this->foreign.known_at());
-    consider(this->health.paused_end());
+    consider(this->health.retry_at());
     consider(this->batch_held_until);
     if (!this->running.empty())
     {
@@ -66,7 +66,7 @@
                  this->running.longest_without_output(now));
     const bool is_quiet = !this->running.empty() &&
                           now - this->last_heard >= this->options.probe_after;
-    now_status.wants_probe = this->health.is_silent() || is_quiet;
+    now_status.wants_probe = this->health.is_unresponsive() || is_quiet;
     now_status.usable = !this->closed && this->health.usable(now);
     return now_status;
 }
--- a/src/decisions/gate_slots.cpp
+++ b/src/decisions/gate_slots.cpp
@@ -18,7 +18,7 @@
 
 int gate::free_slots(time_point now) const
 {
-    return this->health.allowed(this->options.slots, now) -
+    return this->health.allowed_slots(this->options.slots, now) -
            this->running.size() - this->foreign.count();
 }
 
--- a/src/decisions/replica_health.cpp
+++ b/src/decisions/replica_health.cpp
@@ -6,12 +6,12 @@
 {
 
 replica_health::replica_health(int limit, duration shortest, duration longest)
-    : failure_limit(limit), first_pause(shortest), longest_pause(longest),
-      pause(shortest)
+    : failure_limit(limit), initial_backoff(shortest), max_backoff(longest),
+      backoff(shortest)
 {
 }
 
-int replica_health::allowed(int slots, time_point now) const
+int replica_health::allowed_slots(int slots, time_point now) const
 {
     if (!this->usable(now))
     {
@@ -20,31 +20,32 @@
     return this->on_trial() ? std::min(1, slots) : slots;
 }
 
-void replica_health::success()
+void replica_health::record_success()
 {
-    this->failures_in_row = 0;
-    this->pause = this->first_pause;
+    this->consecutive_failures = 0;
+    this->backoff = this->initial_backoff;
 }
 
-void replica_health::failure(time_point now)
+void replica_health::record_failure(time_point now)
 {
-    this->failures_in_row += 1;
-    if (this->failures_in_row < this->failure_limit || !this->usable(now))
+    this->consecutive_failures += 1;
+    if (this->consecutive_failures < this->failure_limit || !this->usable(now))
     {
         return;
     }
-    this->paused_until = now + this->pause;
-    this->pause = std::min(this->pause * 2, this->longest_pause);
+    this->excluded_until = now + this->backoff;
+    this->backoff = std::min(this->backoff * 2, this->max_backoff);
 }
 
-void replica_health::fall_silent(time_point now)
+void replica_health::mark_unresponsive(time_point now)
 {
-    if (this->silent)
+    if (this->unresponsive)
     {
         return;
     }
-    this->silent = true;
-    this->paused_until = std::max(this->paused_until, now + this->first_pause);
+    this->unresponsive = true;
+    this->excluded_until =
+        std::max(this->excluded_until, now + this->initial_backoff);
 }
 
 } // namespace parsleytrack
--- a/src/decisions/replica_health.hpp
+++ b/src/decisions/replica_health.hpp
@@ -12,53 +12,53 @@
 {
 public:
     /// \param failure_limit Failures in a row that are too many.
-    /// \param first_pause How long the replica is left alone at first.
-    /// \param longest_pause Bound of the pause, which doubles each time.
-    replica_health(int failure_limit, duration first_pause,
-                   duration longest_pause);
+    /// \param initial_backoff How long the replica is left alone at first.
+    /// \param max_backoff Bound of the pause, which doubles each time.
+    replica_health(int failure_limit, duration initial_backoff,
+                   duration max_backoff);
 
     /// \returns How much work may run on the replica at the same time.
     ///
     /// \param slots The replica's slots.
     /// \param now The time.
-    int allowed(int slots, time_point now) const;
+    int allowed_slots(int slots, time_point now) const;
 
     /// \returns Whether the replica has yet to show that it has recovered; it
     /// gets one piece of work at a time until then.
     bool on_trial() const
     {
-        return this->failures_in_row >= this->failure_limit;
+        return this->consecutive_failures >= this->failure_limit;
     }
 
     /// \returns Whether the replica is not being left alone.
     bool usable(time_point now) const
     {
-        return !this->silent && now >= this->paused_until;
+        return !this->unresponsive && now >= this->excluded_until;
     }
 
     /// \returns Whether the replica is held to be dead or frozen.
-    bool is_silent() const { return this->silent; }
+    bool is_unresponsive() const { return this->unresponsive; }
 
     /// \returns When the replica is tried again; in the past when it is usable.
-    time_point paused_end() const { return this->paused_until; }
+    time_point retry_at() const { return this->excluded_until; }
 
-    void success();
-    void failure(time_point now);
+    void record_success();
+    void record_failure(time_point now);
 
     /// The replica did not answer in time.
-    void fall_silent(time_point now);
+    void mark_unresponsive(time_point now);
 
     /// Anything came from the replica.
-    void sign_of_life() { this->silent = false; }
+    void mark_responsive() { this->unresponsive = false; }
 
 private:
     int failure_limit;
-    duration first_pause;
-    duration longest_pause;
-    duration pause;
-    int failures_in_row = 0;
-    bool silent = false;
-    time_point paused_until = time_point::min();
+    duration initial_backoff;
+    duration max_backoff;
+    duration backoff;
+    int consecutive_failures = 0;
+    bool unresponsive = false;
+    time_point excluded_until = time_point::min();
 };
 
 } // namespace parsleytrack
--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -31,7 +31,7 @@
 void item_run::start(const service_name& name, int priority, duration due_in)
 {
     this->service = name;
-    slot_order order;
+    slot_request order;
     order.request = request_id(this->item.id);
     order.pool.service = name;
     order.kind = work_class::batch;
@@ -39,7 +39,7 @@
     order.useful_for = due_in;
     order.wait_when_late = true;
     order.availability_zone = this->context.settings.availability_zone;
-    this->lease = this->slots.order(
+    this->lease = this->slots.request_slot(
         order,
         {[this](const replica_id& granted) { this->send(granted); },
          [this](duration) { this->finish(item_end::interrupted, "no slot"); },
@@ -52,7 +52,7 @@
 void item_run::send(const replica_id& granted)
 {
     const routing::replica_entry* entry =
-        this->context.replicas.book().find_usable(granted);
+        this->context.replicas.registry().find_usable(granted);
     if (entry == nullptr)
     {
         this->finish(item_end::interrupted, "the replica has left");
@@ -138,8 +138,8 @@
         this->finish(item_end::impossible, reason);
         return;
     }
-    this->slots.report_end(request_id(this->item.id), this->service,
-                           this->replica, verdict);
+    this->slots.report_failure(request_id(this->item.id), this->service,
+                               this->replica, verdict);
     const bool failed = whole && response.status != status_ok;
     this->finish(failed ? item_end::failed : item_end::interrupted, reason);
 }
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -65,9 +65,9 @@
             if (this->attempt && !this->attempt->has_head() &&
                 net::event_loop::now() - this->sent_at > silence_timeout)
             {
-                this->slots.report_end(this->request.id, this->service,
-                                       this->replica,
-                                       replica_verdict::may_have_run);
+                this->slots.report_failure(this->request.id, this->service,
+                                           this->replica,
+                                           replica_verdict::may_have_run);
             }
             this->finish("caller_left", 0);
         });
@@ -78,7 +78,7 @@
 
 void online_call::order_slot()
 {
-    slot_order order;
+    slot_request order;
     order.request = this->request.id;
     order.pool.service = this->service;
     order.priority = this->request.route->priority;
@@ -87,7 +87,7 @@
                            this->answer_started || this->sends > 0;
     order.excluded = this->excluded;
     order.availability_zone = this->context.settings.availability_zone;
-    this->lease = this->slots.order(
+    this->lease = this->slots.request_slot(
         order, {[this](const replica_id& granted) { this->send(granted); },
                 [this](duration retry_after)
                 {
@@ -110,7 +110,7 @@
 void online_call::send(const replica_id& granted)
 {
     const routing::replica_entry* entry =
-        this->context.replicas.book().find_usable(granted);
+        this->context.replicas.registry().find_usable(granted);
     if (entry == nullptr)
     {
         this->excluded.insert(granted);
@@ -226,8 +226,8 @@
     {
         return;
     }
-    this->slots.report_end(this->request.id, this->service, this->replica,
-                           verdict);
+    this->slots.report_failure(this->request.id, this->service, this->replica,
+                               verdict);
     this->send_again(answered ? "the answer is not whole" : reason);
 }
 
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -11,7 +11,7 @@
 #include "relay/refusal.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/slot_client.hpp"
-#include "relay/slot_desk.hpp"
+#include "relay/slot_server.hpp"
 #include "relay/status_report.hpp"
 #include "relay/stop_schedule.hpp"
 #include "settings/relay_settings_loader.hpp"
@@ -104,12 +104,12 @@
         this->settings, this->dialect, this->loop,  this->replica_client,
         this->peers,    this->group,   this->store, this->configuration,
         this->replicas, this->metrics, this->random};
-    slot_desk desk{this->context};
-    slot_client slots{this->context, this->desk};
+    slot_server slots_server{this->context};
+    slot_client slots{this->context, this->slots_server};
     online_service online{this->context, this->slots};
     job_service jobs{this->context, this->slots};
     address_service addresses{this->context};
-    status_report status{this->context, this->desk, this->jobs};
+    status_report status{this->context, this->slots_server, this->jobs};
     std::vector<net::timer> signals;
     net::timer stop_timer;
     net::timer calls_timer;
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -39,7 +39,7 @@
                 },
                 [this](const error&)
                 {
-                    this->replicas.store_lost();
+                    this->replicas.mark_store_unreachable();
                 }})
 {
     this->expiry_timer =
--- a/src/relay/replica_follower.hpp
+++ b/src/relay/replica_follower.hpp
@@ -3,7 +3,7 @@
 #include "feeds/record_feed.hpp"
 #include "net/event_loop.hpp"
 #include "relay/relay_dialect.hpp"
-#include "routing/replica_book.hpp"
+#include "routing/replica_registry.hpp"
 
 #include <functional>
 #include <vector>
@@ -24,7 +24,7 @@
 
     void start() { this->follower.start(); }
 
-    const routing::replica_book& book() const { return this->replicas; }
+    const routing::replica_registry& registry() const { return this->replicas; }
 
     /// A replica has said that it leaves, or that it is another one.
     ///
@@ -47,7 +47,7 @@
     net::event_loop& loop;
     const relay_dialect& dialect;
     feeds::record_feed follower;
-    routing::replica_book replicas;
+    routing::replica_registry replicas;
     std::vector<std::function<void()>> change_callbacks;
     net::timer expiry_timer;
     std::uint64_t told_generation = 0;
--- a/src/relay/slot_client.cpp
+++ b/src/relay/slot_client.cpp
@@ -17,9 +17,9 @@
 
 /// A broker answers each order at once; several times the slowest way there
 /// and back between availability zones, beside other work on both nodes.
-constexpr duration broker_patience = std::chrono::milliseconds(80);
+constexpr duration broker_response_timeout = std::chrono::milliseconds(80);
 /// How long a broker that did not answer is not asked.
-constexpr duration silence_pause = std::chrono::seconds(1);
+constexpr duration unresponsive_broker_exclusion = std::chrono::seconds(1);
 /// How long an order waits in one pool before another one is looked at.
 constexpr duration rebalance_interval = std::chrono::milliseconds(300);
 constexpr duration report_timeout = std::chrono::milliseconds(500);
@@ -29,31 +29,32 @@
 
 slot_lease::~slot_lease()
 {
-    this->client.give_back(this->number);
+    this->client.release(this->number);
 }
 
-slot_client::slot_client(const relay_context& node, slot_desk& local_desk)
-    : context(node), desk(local_desk), brokers(silence_pause)
+slot_client::slot_client(const relay_context& node, slot_server& local_server)
+    : context(node), server(local_server),
+      brokers(unresponsive_broker_exclusion)
 {
     this->context.group.on_change(
         [this]
         {
-            this->brokers.forget();
-            this->move_orders();
+            this->brokers.clear_choices();
+            this->move_requests();
         });
     this->rebalance_timer = this->context.loop.call_every(
         rebalance_interval, [this] { this->rebalance(); });
 }
 
-std::unique_ptr<slot_lease> slot_client::order(const slot_order& wanted,
-                                               callbacks hooks)
+std::unique_ptr<slot_lease>
+slot_client::request_slot(const slot_request& wanted, callbacks handlers)
 {
     const std::uint64_t number = this->next_number++;
-    order_state& state = this->orders[number];
-    state.order = wanted;
-    state.order.pool.index =
-        this->pools_of(wanted.pool.service).choice.choose(this->context.random);
-    state.hooks = std::move(hooks);
+    open_request& state = this->requests[number];
+    state.request = wanted;
+    state.request.pool.index = this->pools_of(wanted.pool.service)
+                                   .selector.choose(this->context.random);
+    state.handlers = std::move(handlers);
     state.opened = net::event_loop::now();
     this->open(number);
     return std::make_unique<slot_lease>(*this, number);
@@ -67,7 +68,7 @@
     const node_info broker = this->broker_of(pool);
     if (broker.id == this->context.group.own().id)
     {
-        this->desk.take_report(report);
+        this->server.handle_report(report);
         return;
     }
     const std::uint64_t number = this->next_number++;
@@ -87,9 +88,10 @@
          }});
 }
 
-void slot_client::report_end(const request_id& request,
-                             const service_name& service,
-                             const replica_id& replica, replica_verdict verdict)
+void slot_client::report_failure(const request_id& request,
+                                 const service_name& service,
+                                 const replica_id& replica,
+                                 replica_verdict verdict)
 {
     if (verdict == replica_verdict::not_run)
     {
@@ -103,34 +105,35 @@
     this->report(replica_report{request, service, replica, leaving});
 }
 
-void slot_client::give_back(std::uint64_t number)
+void slot_client::release(std::uint64_t number)
 {
-    const auto found = this->orders.find(number);
-    if (found == this->orders.end())
+    const auto found = this->requests.find(number);
+    if (found == this->requests.end())
     {
         return;
     }
-    order_state state = std::move(found->second);
-    this->orders.erase(found);
-    if (state.granted && --this->in_flight[state.order.held] <= 0)
+    open_request state = std::move(found->second);
+    this->requests.erase(found);
+    if (state.granted && --this->in_flight[state.request.held_replica] <= 0)
     {
-        this->in_flight.erase(state.order.held);
+        this->in_flight.erase(state.request.held_replica);
     }
     if (state.ticket)
     {
-        this->desk.close(*state.ticket);
+        this->server.close(*state.ticket);
     }
 }
 
 slot_client::service_pools& slot_client::pools_of(const service_name& service)
 {
-    const routing::replica_book& book = this->context.replicas.book();
+    const routing::replica_registry& registry =
+        this->context.replicas.registry();
     service_pools& known = this->pools[service];
-    if (known.generation != book.generation())
+    if (known.generation != registry.generation())
     {
-        known.generation = book.generation();
-        known.count = slots::pool_count(book.usable(service).size());
-        known.choice.set_count(known.count);
+        known.generation = registry.generation();
+        known.count = slots::pool_count(registry.usable(service).size());
+        known.selector.set_pool_count(known.count);
     }
     return known;
 }
@@ -144,118 +147,119 @@
 
 void slot_client::open(std::uint64_t number)
 {
-    order_state& state = this->orders.at(number);
-    const node_info broker = this->broker_of(state.order.pool);
+    open_request& state = this->requests.at(number);
+    const node_info broker = this->broker_of(state.request.pool);
     const node_id& own = this->context.group.own().id;
     state.broker = broker.id;
     if (state.broker == own)
     {
-        state.ticket = this->desk.open(state.order,
-                                       [this, number](const slot_answer& answer)
-                                       { this->take_answer(number, answer); });
+        state.ticket = this->server.open(
+            state.request, [this, number](const slot_response& response)
+            { this->handle_response(number, response); });
         return;
     }
     state.call = this->context.peers.call(
-        broker.peer, wire::message_type::slot_request, encode(state.order),
+        broker.peer, wire::message_type::slot_request, encode(state.request),
         duration::zero(),
         {[this, number](const std::string& bytes)
          {
-             const auto answer = decode_slot_answer(bytes);
-             if (answer.has_error())
+             const auto response = decode_slot_response(bytes);
+             if (response.has_error())
              {
-                 this->lose_broker(number, "unreadable_answer");
+                 this->handle_broker_loss(number, "unreadable_answer");
                  return;
              }
-             this->take_answer(number, answer.value());
+             this->handle_response(number, response.value());
          },
          [this, number](const result<std::string>&)
          {
-             this->lose_broker(number, "connection_lost");
+             this->handle_broker_loss(number, "connection_lost");
          }});
     if (!state.granted)
     {
-        state.patience = this->context.loop.call_after(
-            broker_patience,
-            [this, number] { this->lose_broker(number, "silent"); });
+        state.response_timer = this->context.loop.call_after(
+            broker_response_timeout,
+            [this, number] { this->handle_broker_loss(number, "silent"); });
     }
 }
 
-void slot_client::take_answer(std::uint64_t number, const slot_answer& answer)
+void slot_client::handle_response(std::uint64_t number,
+                                  const slot_response& response)
 {
-    const auto found = this->orders.find(number);
-    if (found == this->orders.end())
+    const auto found = this->requests.find(number);
+    if (found == this->requests.end())
     {
         return;
     }
-    order_state& state = found->second;
-    state.patience.cancel();
-    this->pools_of(state.order.pool.service)
-        .choice.note(state.order.pool.index, answer.spare);
+    open_request& state = found->second;
+    state.response_timer.cancel();
+    this->pools_of(state.request.pool.service)
+        .selector.record_spare(state.request.pool.index, response.spare);
     // Callbacks may destroy the lease and with it this order.
-    const callbacks hooks = state.hooks;
-    switch (answer.what)
+    const callbacks handlers = state.handlers;
+    switch (response.status)
     {
-    case slot_answer::verdict::queued:
+    case slot_response::status_code::queued:
         return;
-    case slot_answer::verdict::granted:
+    case slot_response::status_code::granted:
         if (state.granted)
         {
             return;
         }
         state.granted = true;
-        state.order.held = answer.replica;
-        ++this->in_flight[answer.replica];
-        hooks.on_granted(answer.replica);
+        state.request.held_replica = response.replica;
+        ++this->in_flight[response.replica];
+        handlers.on_granted(response.replica);
         return;
-    case slot_answer::verdict::refused:
-        hooks.on_refused(answer.retry_after);
+    case slot_response::status_code::refused:
+        handlers.on_refused(response.retry_after);
         return;
-    case slot_answer::verdict::reclaimed:
-        if (hooks.on_reclaimed)
+    case slot_response::status_code::reclaimed:
+        if (handlers.on_reclaimed)
         {
-            hooks.on_reclaimed();
+            handlers.on_reclaimed();
         }
         return;
     }
 }
 
-void slot_client::lose_broker(std::uint64_t number, const char* reason)
+void slot_client::handle_broker_loss(std::uint64_t number, const char* reason)
 {
-    const auto found = this->orders.find(number);
-    if (found == this->orders.end())
+    const auto found = this->requests.find(number);
+    if (found == this->requests.end())
     {
         return;
     }
-    order_state& state = found->second;
-    if (this->brokers.note_silent(state.broker, net::event_loop::now()))
+    open_request& state = found->second;
+    if (this->brokers.mark_unresponsive(state.broker, net::event_loop::now()))
     {
         log_event(log_level::warning, "slot_broker_lost",
                   {{"broker", state.broker.str()},
-                   {"pool", state.order.pool.name()},
+                   {"pool", state.request.pool.name()},
                    {"reason", reason},
-                   {"request", state.order.request.str()}});
+                   {"request", state.request.request.str()}});
     }
     // The call may be the one whose callback runs.
     this->context.loop.free_later(std::move(state.call));
-    state.patience.cancel();
+    state.response_timer.cancel();
     if (state.granted)
     {
         // The next broker learns of the slot in use.
         this->open(number);
         return;
     }
-    this->choose_alone(number);
+    this->choose_replica_locally(number);
 }
 
-void slot_client::choose_alone(std::uint64_t number)
+void slot_client::choose_replica_locally(std::uint64_t number)
 {
-    order_state& state = this->orders.at(number);
+    open_request& state = this->requests.at(number);
     const routing::replica_entry* best = nullptr;
     double best_load = 0.0;
     for (const auto* entry :
-         this->context.replicas.book().usable(state.order.pool.service))
+         this->context.replicas.registry().usable(state.request.pool.service))
     {
-        if (state.order.excluded.contains(entry->id))
+        if (state.request.excluded.contains(entry->id))
         {
             continue;
         }
@@ -271,29 +275,29 @@
             best_load = load;
         }
     }
-    const callbacks hooks = state.hooks;
+    const callbacks handlers = state.handlers;
     if (best == nullptr)
     {
-        hooks.on_refused(retry_after_without_replica);
+        handlers.on_refused(retry_after_without_replica);
         return;
     }
-    log_event(
-        log_level::info, "slot_chosen_alone",
-        {{"request", state.order.request.str()}, {"replica", best->id.str()}});
+    log_event(log_level::info, "slot_chosen_alone",
+              {{"request", state.request.request.str()},
+               {"replica", best->id.str()}});
     state.granted = true;
-    state.order.held = best->id;
+    state.request.held_replica = best->id;
     ++this->in_flight[best->id];
     const replica_id chosen = best->id;
     this->open(number);
-    hooks.on_granted(chosen);
+    handlers.on_granted(chosen);
 }
 
-void slot_client::move_orders()
+void slot_client::move_requests()
 {
     std::vector<std::uint64_t> moved;
-    for (const auto& [number, state] : this->orders)
+    for (const auto& [number, state] : this->requests)
     {
-        if (this->broker_of(state.order.pool).id != state.broker)
+        if (this->broker_of(state.request.pool).id != state.broker)
         {
             moved.push_back(number);
         }
@@ -307,29 +311,30 @@
 void slot_client::rebalance()
 {
     // A broker that is no longer left out learns of the slots in use.
-    this->move_orders();
+    this->move_requests();
     std::vector<std::pair<std::uint64_t, int>> moved;
     const time_point now = net::event_loop::now();
-    for (const auto& [number, state] : this->orders)
+    for (const auto& [number, state] : this->requests)
     {
         if (state.granted || now - state.opened < rebalance_interval)
         {
             continue;
         }
-        service_pools& pools = this->pools_of(state.order.pool.service);
+        service_pools& pools = this->pools_of(state.request.pool.service);
         if (const auto better =
-                pools.choice.better_than(state.order.pool.index))
+                pools.selector.find_better_pool(state.request.pool.index))
         {
-            pools.choice.note(*better, pools.choice.spare_of(*better) - 1);
+            pools.selector.record_spare(
+                *better, pools.selector.known_spare(*better) - 1);
             moved.emplace_back(number, *better);
         }
     }
     for (const auto& [number, pool] : moved)
     {
-        const auto found = this->orders.find(number);
-        if (found != this->orders.end())
+        const auto found = this->requests.find(number);
+        if (found != this->requests.end())
         {
-            found->second.order.pool.index = pool;
+            found->second.request.pool.index = pool;
             this->reopen(number);
         }
     }
@@ -337,16 +342,16 @@
 
 void slot_client::reopen(std::uint64_t number)
 {
-    const auto found = this->orders.find(number);
-    if (found == this->orders.end())
+    const auto found = this->requests.find(number);
+    if (found == this->requests.end())
     {
         return;
     }
-    order_state& state = found->second;
+    open_request& state = found->second;
     state.call.reset();
     if (state.ticket)
     {
-        this->desk.close(*state.ticket);
+        this->server.close(*state.ticket);
         state.ticket.reset();
     }
     this->open(number);
--- a/src/relay/slot_client.hpp
+++ b/src/relay/slot_client.hpp
@@ -3,10 +3,10 @@
 #include "relay/relay_context.hpp"
 #include "relay/replica_exchange.hpp"
 #include "relay/replica_report.hpp"
-#include "relay/slot_desk.hpp"
-#include "relay/slot_order.hpp"
-#include "slots/broker_choice.hpp"
-#include "slots/pool_choice.hpp"
+#include "relay/slot_request.hpp"
+#include "relay/slot_server.hpp"
+#include "slots/broker_selector.hpp"
+#include "slots/pool_selector.hpp"
 
 #include <functional>
 #include <map>
@@ -23,8 +23,8 @@
 class slot_lease
 {
 public:
-    slot_lease(slot_client& owner, std::uint64_t order_number)
-        : client(owner), number(order_number)
+    slot_lease(slot_client& owner, std::uint64_t request_number)
+        : client(owner), number(request_number)
     {
     }
     ~slot_lease();
@@ -53,34 +53,34 @@
     };
 
     /// \param node Outlives this object.
-    /// \param local_desk Serves orders for which this node is the broker.
-    slot_client(const relay_context& node, slot_desk& local_desk);
+    /// \param local_server Serves orders for which this node is the broker.
+    slot_client(const relay_context& node, slot_server& local_server);
 
-    /// Orders a slot. No callback is called before order() has returned.
-    [[nodiscard]] std::unique_ptr<slot_lease> order(const slot_order& wanted,
-                                                    callbacks hooks);
+    /// Orders a slot. No callback is called before request_slot() has returned.
+    [[nodiscard]] std::unique_ptr<slot_lease>
+    request_slot(const slot_request& wanted, callbacks handlers);
 
     /// Draws the conclusions of a request that ended without a usable answer:
     /// tells the broker, and holds the replica to leave if it said so.
     ///
     /// \param verdict What became of the request at the replica.
-    void report_end(const request_id& request, const service_name& service,
-                    const replica_id& replica, replica_verdict verdict);
+    void report_failure(const request_id& request, const service_name& service,
+                        const replica_id& replica, replica_verdict verdict);
 
     /// Called by leases only.
-    void give_back(std::uint64_t number);
+    void release(std::uint64_t number);
 
 private:
-    struct order_state
+    struct open_request
     {
-        slot_order order;
-        callbacks hooks;
+        slot_request request;
+        callbacks handlers;
         node_id broker;
         /// Set when this node is the broker.
         std::optional<slots::slot_ticket> ticket;
         std::unique_ptr<wire::peer_call> call;
         /// Ends the wait for a sign of life of the broker.
-        net::timer patience;
+        net::timer response_timer;
         bool granted = false;
         time_point opened;
     };
@@ -90,7 +90,7 @@
         /// The state of the list of replicas for which the count holds.
         std::uint64_t generation = 0;
         int count = 1;
-        slots::pool_choice choice;
+        slots::pool_selector selector;
     };
 
     /// Tells the broker that a request has failed at its replica.
@@ -98,18 +98,18 @@
     service_pools& pools_of(const service_name& service);
     const node_info& broker_of(const slot_pool& pool);
     void open(std::uint64_t number);
-    void take_answer(std::uint64_t number, const slot_answer& answer);
-    void lose_broker(std::uint64_t number, const char* reason);
-    void choose_alone(std::uint64_t number);
-    void move_orders();
+    void handle_response(std::uint64_t number, const slot_response& response);
+    void handle_broker_loss(std::uint64_t number, const char* reason);
+    void choose_replica_locally(std::uint64_t number);
+    void move_requests();
     void rebalance();
     void reopen(std::uint64_t number);
 
     const relay_context& context;
-    slot_desk& desk;
-    std::map<std::uint64_t, order_state> orders;
+    slot_server& server;
+    std::map<std::uint64_t, open_request> requests;
     std::map<replica_id, int> in_flight;
-    slots::broker_choice brokers;
+    slots::broker_selector brokers;
     std::map<service_name, service_pools> pools;
     net::timer rebalance_timer;
     std::map<std::uint64_t, std::unique_ptr<wire::peer_call>> reports;
--- a/src/relay/slot_codec.cpp
+++ b/src/relay/slot_codec.cpp
@@ -9,60 +9,60 @@
 namespace
 {
 
-wire::slot_verdict::type to_wire(slot_answer::verdict what)
+wire::slot_verdict::type to_wire(slot_response::status_code status)
 {
-    switch (what)
+    switch (status)
     {
-    case slot_answer::verdict::queued:
+    case slot_response::status_code::queued:
         return wire::slot_verdict::queued;
-    case slot_answer::verdict::granted:
+    case slot_response::status_code::granted:
         return wire::slot_verdict::granted;
-    case slot_answer::verdict::refused:
+    case slot_response::status_code::refused:
         return wire::slot_verdict::refused;
-    case slot_answer::verdict::reclaimed:
+    case slot_response::status_code::reclaimed:
         return wire::slot_verdict::reclaimed;
     }
     return wire::slot_verdict::queued;
 }
 
-slot_answer::verdict from_wire(wire::slot_verdict::type what)
+slot_response::status_code from_wire(wire::slot_verdict::type status)
 {
-    switch (what)
+    switch (status)
     {
     case wire::slot_verdict::granted:
-        return slot_answer::verdict::granted;
+        return slot_response::status_code::granted;
     case wire::slot_verdict::refused:
-        return slot_answer::verdict::refused;
+        return slot_response::status_code::refused;
     case wire::slot_verdict::reclaimed:
-        return slot_answer::verdict::reclaimed;
+        return slot_response::status_code::reclaimed;
     case wire::slot_verdict::queued:
         break;
     }
-    return slot_answer::verdict::queued;
+    return slot_response::status_code::queued;
 }
 
 } // namespace
 
-std::string encode(const slot_order& order)
+std::string encode(const slot_request& request)
 {
     wire::slot_order message;
-    message.request = order.request.str();
-    message.service_name = order.pool.service.str();
-    message.priority = order.priority;
-    message.batch = order.kind == work_class::batch;
-    message.useful_for_ms = to_milliseconds(order.useful_for);
-    message.wait_when_late = order.wait_when_late;
-    for (const replica_id& replica : order.excluded)
+    message.request = request.request.str();
+    message.service_name = request.pool.service.str();
+    message.priority = request.priority;
+    message.batch = request.kind == work_class::batch;
+    message.useful_for_ms = to_milliseconds(request.useful_for);
+    message.wait_when_late = request.wait_when_late;
+    for (const replica_id& replica : request.excluded)
     {
         message.excluded.push_back(replica.str());
     }
-    message.availability_zone = order.availability_zone.str();
-    message.held_replica = order.held.str();
-    message.pool = order.pool.index;
+    message.availability_zone = request.availability_zone.str();
+    message.held_replica = request.held_replica.str();
+    message.pool = request.pool.index;
     return wire::encode(message);
 }
 
-result<slot_order> decode_slot_order(std::string_view bytes)
+result<slot_request> decode_slot_request(std::string_view bytes)
 {
     const auto message = wire::decode<wire::slot_order>(bytes);
     if (message.has_error())
@@ -70,47 +70,47 @@
         return message.error();
     }
     const wire::slot_order& read = message.value();
-    slot_order order;
-    order.request = request_id(read.request);
-    order.pool.service = service_name(read.service_name);
-    order.priority = read.priority;
-    order.kind = read.batch ? work_class::batch : work_class::online;
-    order.useful_for = std::chrono::milliseconds(read.useful_for_ms);
-    order.wait_when_late = read.wait_when_late;
+    slot_request request;
+    request.request = request_id(read.request);
+    request.pool.service = service_name(read.service_name);
+    request.priority = read.priority;
+    request.kind = read.batch ? work_class::batch : work_class::online;
+    request.useful_for = std::chrono::milliseconds(read.useful_for_ms);
+    request.wait_when_late = read.wait_when_late;
     for (const std::string& replica : read.excluded)
     {
-        order.excluded.emplace(replica);
+        request.excluded.emplace(replica);
     }
-    order.availability_zone = availability_zone_name(read.availability_zone);
-    order.held = replica_id(read.held_replica);
-    order.pool.index = read.pool;
-    return order;
+    request.availability_zone = availability_zone_name(read.availability_zone);
+    request.held_replica = replica_id(read.held_replica);
+    request.pool.index = read.pool;
+    return request;
 }
 
-std::string encode(const slot_answer& answer)
+std::string encode(const slot_response& response)
 {
     wire::slot_answer message;
-    message.verdict = to_wire(answer.what);
-    message.replica = answer.replica.str();
-    message.retry_after_ms = to_milliseconds(answer.retry_after);
-    message.spare = answer.spare;
+    message.verdict = to_wire(response.status);
+    message.replica = response.replica.str();
+    message.retry_after_ms = to_milliseconds(response.retry_after);
+    message.spare = response.spare;
     return wire::encode(message);
 }
 
-result<slot_answer> decode_slot_answer(std::string_view bytes)
+result<slot_response> decode_slot_response(std::string_view bytes)
 {
     const auto message = wire::decode<wire::slot_answer>(bytes);
     if (message.has_error())
     {
         return message.error();
     }
-    slot_answer answer;
-    answer.what = from_wire(message.value().verdict);
-    answer.replica = replica_id(message.value().replica);
-    answer.retry_after =
+    slot_response response;
+    response.status = from_wire(message.value().verdict);
+    response.replica = replica_id(message.value().replica);
+    response.retry_after =
         std::chrono::milliseconds(message.value().retry_after_ms);
-    answer.spare = message.value().spare;
-    return answer;
+    response.spare = message.value().spare;
+    return response;
 }
 
 std::string encode(const replica_report& report)
--- a/src/relay/slot_order.hpp
+++ b/src/relay/slot_request.hpp
@@ -11,7 +11,7 @@
 {
 
 /// What a request or an item wants of the broker of its service.
-struct slot_order
+struct slot_request
 {
     request_id request;
     slot_pool pool;
@@ -25,7 +25,7 @@
     std::set<replica_id> excluded;
     availability_zone_name availability_zone;
     /// Set when the slot is in use already, granted by another broker.
-    replica_id held;
+    replica_id held_replica;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/slot_answer.hpp
+++ b/src/relay/slot_response.hpp
@@ -7,9 +7,9 @@
 {
 
 /// What a broker tells the holder of an order.
-struct slot_answer
+struct slot_response
 {
-    enum class verdict
+    enum class status_code
     {
         /// The order waits for a slot; shows that the broker lives.
         queued,
@@ -19,7 +19,7 @@
         reclaimed
     };
 
-    verdict what = verdict::queued;
+    status_code status = status_code::queued;
     /// Granted: where to.
     replica_id replica;
     /// Refused: when asking again may help.
--- a/src/relay/slot_desk.cpp
+++ b/src/relay/slot_server.cpp
@@ -1,4 +1,4 @@
-#include "relay/slot_desk.hpp"
+#include "relay/slot_server.hpp"
 
 #include "logging/log.hpp"
 #include "relay/slot_codec.hpp"
@@ -16,48 +16,48 @@
 constexpr duration tick_interval = std::chrono::milliseconds(20);
 /// How often the state of the slots is logged: on-call engineers read it by the
 /// second, and a line a second costs next to nothing.
-constexpr duration show_interval = std::chrono::seconds(1);
+constexpr duration metrics_interval = std::chrono::seconds(1);
 
 } // namespace
 
-slot_desk::slot_desk(const relay_context& node) : context(node)
+slot_server::slot_server(const relay_context& node) : context(node)
 {
     this->context.replicas.on_change([this] { this->update_replicas(); });
     this->context.peers.on_call(
         wire::message_type::slot_request,
         [this](const std::shared_ptr<wire::peer_exchange>& exchange)
-        { this->answer_peer(exchange); });
+        { this->handle_peer_request(exchange); });
     this->context.peers.on_call(
         wire::message_type::slot_report,
         [this](const std::shared_ptr<wire::peer_exchange>& exchange)
-        { this->take_peer_report(exchange); });
+        { this->handle_peer_report(exchange); });
     this->tick_timer =
         this->context.loop.call_every(tick_interval, [this] { this->tick(); });
-    this->show_timer = this->context.loop.call_every(show_interval, [this]
-                                                     { this->show_state(); });
+    this->metrics_timer = this->context.loop.call_every(
+        metrics_interval, [this] { this->export_metrics(); });
 }
 
-slots::slot_ticket slot_desk::open(const slot_order& order,
-                                   answer_callback callback)
+slots::slot_ticket slot_server::open(const slot_request& request,
+                                     response_callback callback)
 {
     const time_point now = net::event_loop::now();
     const slots::slot_ticket ticket(this->next_ticket++);
-    slots::slot_broker& broker = this->broker_of(order.pool);
+    slots::slot_broker& broker = this->broker_of(request.pool);
     slots::slot_request wanted;
-    wanted.kind = order.kind;
-    wanted.priority = order.priority;
-    wanted.useful_until = now + order.useful_for;
-    wanted.wait_when_late = order.wait_when_late;
-    wanted.availability_zone = order.availability_zone;
-    wanted.excluded = order.excluded;
-    order_state& state = this->orders[ticket];
-    state = order_state{order, std::move(callback), false, false, {}};
-    this->tickets[order.request] = ticket;
-    if (!order.held.empty())
+    wanted.kind = request.kind;
+    wanted.priority = request.priority;
+    wanted.useful_until = now + request.useful_for;
+    wanted.wait_when_late = request.wait_when_late;
+    wanted.availability_zone = request.availability_zone;
+    wanted.excluded = request.excluded;
+    open_request& state = this->requests[ticket];
+    state = open_request{request, std::move(callback), false, false, {}};
+    this->tickets[request.request] = ticket;
+    if (!request.held_replica.empty())
     {
         state.granted = true;
-        state.replica = order.held;
-        broker.adopt(ticket, wanted, order.held, now);
+        state.replica = request.held_replica;
+        broker.adopt(ticket, wanted, request.held_replica, now);
     }
     else
     {
@@ -65,13 +65,13 @@
     }
     // Not before the caller knows its ticket.
     this->context.loop.post(
-        [this, pool = order.pool, ticket]
+        [this, pool = request.pool, ticket]
         {
-            this->carry_out(this->broker_of(pool));
-            const auto found = this->orders.find(ticket);
-            if (found != this->orders.end() && !found->second.granted)
+            this->execute_commands(this->broker_of(pool));
+            const auto found = this->requests.find(ticket);
+            if (found != this->requests.end() && !found->second.granted)
             {
-                slot_answer queued;
+                slot_response queued;
                 queued.spare =
                     this->broker_of(pool).spare(net::event_loop::now());
                 found->second.callback(queued);
@@ -80,35 +80,35 @@
     return ticket;
 }
 
-void slot_desk::close(slots::slot_ticket ticket)
+void slot_server::close(slots::slot_ticket ticket)
 {
-    const auto found = this->orders.find(ticket);
-    if (found == this->orders.end())
+    const auto found = this->requests.find(ticket);
+    if (found == this->requests.end())
     {
         return;
     }
-    const order_state state = std::move(found->second);
-    this->orders.erase(found);
-    const auto named = this->tickets.find(state.order.request);
-    if (named != this->tickets.end() && named->second == ticket)
+    const open_request state = std::move(found->second);
+    this->requests.erase(found);
+    const auto found_ticket = this->tickets.find(state.request.request);
+    if (found_ticket != this->tickets.end() && found_ticket->second == ticket)
     {
-        this->tickets.erase(named);
+        this->tickets.erase(found_ticket);
     }
-    slots::slot_broker& broker = this->broker_of(state.order.pool);
+    slots::slot_broker& broker = this->broker_of(state.request.pool);
     if (state.granted && !state.failed)
     {
         broker.report_success(state.replica);
     }
-    broker.end(ticket, net::event_loop::now());
-    this->carry_out(broker);
+    broker.release(ticket, net::event_loop::now());
+    this->execute_commands(broker);
 }
 
-void slot_desk::take_report(const replica_report& report)
+void slot_server::handle_report(const replica_report& report)
 {
-    const auto named = this->tickets.find(report.request);
-    if (named != this->tickets.end())
+    const auto found_ticket = this->tickets.find(report.request);
+    if (found_ticket != this->tickets.end())
     {
-        this->orders.at(named->second).failed = true;
+        this->requests.at(found_ticket->second).failed = true;
     }
     if (report.leaving)
     {
@@ -116,7 +116,7 @@
         return;
     }
     const std::size_t replicas =
-        this->context.replicas.book().usable(report.service).size();
+        this->context.replicas.registry().usable(report.service).size();
     const slot_pool pool{
         report.service,
         slots::pool_of(report.replica, slots::pool_count(replicas))};
@@ -124,7 +124,7 @@
                                          net::event_loop::now());
 }
 
-slots::slot_broker& slot_desk::broker_of(const slot_pool& pool)
+slots::slot_broker& slot_server::broker_of(const slot_pool& pool)
 {
     const auto known = this->brokers.find(pool);
     if (known != this->brokers.end())
@@ -136,7 +136,7 @@
     return broker;
 }
 
-void slot_desk::update_replicas()
+void slot_server::update_replicas()
 {
     for (auto& [pool, broker] : this->brokers)
     {
@@ -144,10 +144,11 @@
     }
 }
 
-void slot_desk::update_replicas(const slot_pool& pool,
-                                slots::slot_broker& broker)
+void slot_server::update_replicas(const slot_pool& pool,
+                                  slots::slot_broker& broker)
 {
-    const auto replicas = this->context.replicas.book().usable(pool.service);
+    const auto replicas =
+        this->context.replicas.registry().usable(pool.service);
     const int pools = slots::pool_count(replicas.size());
     std::vector<slots::slot_replica> usable;
     for (const routing::replica_entry* entry : replicas)
@@ -159,27 +160,27 @@
         }
     }
     broker.set_replicas(usable, net::event_loop::now());
-    this->carry_out(broker);
+    this->execute_commands(broker);
 }
 
-void slot_desk::answer_peer(
+void slot_server::handle_peer_request(
     const std::shared_ptr<wire::peer_exchange>& exchange)
 {
-    const auto order = decode_slot_order(exchange->request());
-    if (order.has_error())
+    const auto request = decode_slot_request(exchange->request());
+    if (request.has_error())
     {
         log_event(log_level::warning, "slot_order_refused",
-                  {{"reason", order.error().message}});
-        exchange->fail(order.error());
+                  {{"reason", request.error().message}});
+        exchange->fail(request.error());
         return;
     }
     const slots::slot_ticket ticket =
-        this->open(order.value(), [exchange](const slot_answer& answer)
-                   { exchange->send_part(encode(answer)); });
+        this->open(request.value(), [exchange](const slot_response& response)
+                   { exchange->send_part(encode(response)); });
     exchange->on_cancelled([this, ticket] { this->close(ticket); });
 }
 
-void slot_desk::take_peer_report(
+void slot_server::handle_peer_report(
     const std::shared_ptr<wire::peer_exchange>& exchange)
 {
     const auto report = decode_replica_report(exchange->request());
@@ -190,11 +191,11 @@
         exchange->fail(report.error());
         return;
     }
-    this->take_report(report.value());
+    this->handle_report(report.value());
     exchange->finish({});
 }
 
-void slot_desk::tick()
+void slot_server::tick()
 {
     const time_point now = net::event_loop::now();
     for (auto& [pool, broker] : this->brokers)
@@ -202,12 +203,12 @@
         if (broker.waiting_online() > 0 || broker.waiting_batch() > 0)
         {
             broker.tick(now);
-            this->carry_out(broker);
+            this->execute_commands(broker);
         }
     }
 }
 
-std::vector<pool_state> slot_desk::pools() const
+std::vector<pool_state> slot_server::pools() const
 {
     const time_point now = net::event_loop::now();
     std::vector<pool_state> list;
@@ -226,15 +227,15 @@
     return list;
 }
 
-void slot_desk::show_state() const
+void slot_server::export_metrics() const
 {
     for (const pool_state& pool : this->pools())
     {
-        this->show_pool(pool);
+        this->export_pool_metrics(pool);
     }
 }
 
-void slot_desk::show_pool(const pool_state& pool) const
+void slot_server::export_pool_metrics(const pool_state& pool) const
 {
     const auto gauge = [this, &pool](const char* use, int value)
     {
@@ -264,45 +265,45 @@
          {"replicas_age_ms", to_milliseconds(this->context.replicas.age())}});
 }
 
-void slot_desk::carry_out(slots::slot_broker& broker)
+void slot_server::execute_commands(slots::slot_broker& broker)
 {
     for (const slots::slot_command& command : broker.take_commands())
     {
-        const auto found = this->orders.find(command.ticket);
-        if (found == this->orders.end())
+        const auto found = this->requests.find(command.ticket);
+        if (found == this->requests.end())
         {
             continue;
         }
-        order_state& state = found->second;
-        slot_answer answer;
-        answer.replica = command.replica;
-        answer.retry_after = command.retry_after;
-        answer.spare = command.free_slots - command.waiting;
-        switch (command.verdict)
+        open_request& state = found->second;
+        slot_response response;
+        response.replica = command.replica;
+        response.retry_after = command.retry_after;
+        response.spare = command.free_slots - command.waiting;
+        switch (command.decision)
         {
-        case slots::slot_verdict::granted:
-            answer.what = slot_answer::verdict::granted;
+        case slots::slot_decision::granted:
+            response.status = slot_response::status_code::granted;
             state.granted = true;
             state.replica = command.replica;
             break;
-        case slots::slot_verdict::refused:
-            answer.what = slot_answer::verdict::refused;
+        case slots::slot_decision::refused:
+            response.status = slot_response::status_code::refused;
             log_event(
                 log_level::info, "slot_refused",
-                {{"request", state.order.request.str()},
-                 {"pool", state.order.pool.name()},
+                {{"request", state.request.request.str()},
+                 {"pool", state.request.pool.name()},
                  {"waiting", command.waiting},
                  {"used", broker.used_slots()},
                  {"slots", broker.total_slots()},
                  {"retry_after_ms", to_milliseconds(command.retry_after)}});
             break;
-        case slots::slot_verdict::reclaimed:
-            answer.what = slot_answer::verdict::reclaimed;
+        case slots::slot_decision::reclaimed:
+            response.status = slot_response::status_code::reclaimed;
             break;
         }
-        // The callback may close this or other orders.
-        const answer_callback callback = state.callback;
-        callback(answer);
+        // The callback may close this or other requests.
+        const response_callback callback = state.callback;
+        callback(response);
     }
 }
 
--- a/src/relay/slot_desk.hpp
+++ b/src/relay/slot_server.hpp
@@ -3,8 +3,8 @@
 #include "relay/pool_state.hpp"
 #include "relay/relay_context.hpp"
 #include "relay/replica_report.hpp"
-#include "relay/slot_answer.hpp"
-#include "relay/slot_order.hpp"
+#include "relay/slot_request.hpp"
+#include "relay/slot_response.hpp"
 #include "slots/slot_broker.hpp"
 
 #include <functional>
@@ -18,57 +18,60 @@
 
 /// Runs the slot brokers of the pools for which this node is asked, for
 /// requests of this node and of others.
-class slot_desk
+class slot_server
 {
 public:
-    using answer_callback = std::function<void(const slot_answer&)>;
+    using response_callback = std::function<void(const slot_response&)>;
 
     /// \param node Outlives this object.
-    explicit slot_desk(const relay_context& node);
+    explicit slot_server(const relay_context& node);
 
-    /// Takes an order.
+    /// Takes an request.
     ///
-    /// \param order What is wanted.
+    /// \param request What is wanted.
     /// \param callback Gets the answers, never before open() has returned.
     /// \returns The order's ticket, for close().
-    slots::slot_ticket open(const slot_order& order, answer_callback callback);
+    slots::slot_ticket open(const slot_request& request,
+                            response_callback callback);
 
     /// The slot is given back, or no longer wanted.
     void close(slots::slot_ticket ticket);
 
     /// A request has failed at its replica.
-    void take_report(const replica_report& report);
+    void handle_report(const replica_report& report);
 
     /// \returns The pools for which this node is asked, or was.
     std::vector<pool_state> pools() const;
 
 private:
-    struct order_state
+    struct open_request
     {
-        slot_order order;
-        answer_callback callback;
+        slot_request request;
+        response_callback callback;
         bool failed = false;
         bool granted = false;
         replica_id replica;
     };
 
     slots::slot_broker& broker_of(const slot_pool& pool);
-    void answer_peer(const std::shared_ptr<wire::peer_exchange>& exchange);
-    void take_peer_report(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void
+    handle_peer_request(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void
+    handle_peer_report(const std::shared_ptr<wire::peer_exchange>& exchange);
     void update_replicas();
     void update_replicas(const slot_pool& pool, slots::slot_broker& broker);
     void tick();
-    void show_state() const;
-    void show_pool(const pool_state& pool) const;
-    void carry_out(slots::slot_broker& broker);
+    void export_metrics() const;
+    void export_pool_metrics(const pool_state& pool) const;
+    void execute_commands(slots::slot_broker& broker);
 
     const relay_context& context;
     std::map<slot_pool, slots::slot_broker> brokers;
-    std::map<slots::slot_ticket, order_state> orders;
+    std::map<slots::slot_ticket, open_request> requests;
     std::map<request_id, slots::slot_ticket> tickets;
     std::int64_t next_ticket = 1;
     net::timer tick_timer;
-    net::timer show_timer;
+    net::timer metrics_timer;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/status_report.cpp
+++ b/src/relay/status_report.cpp
@@ -53,12 +53,12 @@
     return document;
 }
 
-json describe_replicas(const routing::replica_book& book)
+json describe_replicas(const routing::replica_registry& registry)
 {
     json list = json::array();
-    for (const auto& [id, entry] : book.all())
+    for (const auto& [id, entry] : registry.all())
     {
-        const bool usable = book.find_usable(id) != nullptr;
+        const bool usable = registry.find_usable(id) != nullptr;
         const char* unusable = entry.draining ? "draining" : "left_alone";
         list.push_back({{"id", id.str()},
                         {"service", entry.service.str()},
@@ -101,10 +101,10 @@
     return list;
 }
 
-json describe_pools(const slot_desk& desk)
+json describe_pools(const slot_server& server)
 {
     json list = json::array();
-    for (const pool_state& pool : desk.pools())
+    for (const pool_state& pool : server.pools())
     {
         list.push_back({{"pool", pool.name},
                         {"slots", pool.slots},
@@ -121,9 +121,9 @@
 } // namespace
 
 status_report::status_report(const relay_context& node,
-                             const slot_desk& local_desk,
+                             const slot_server& local_server,
                              const job_service& local_jobs)
-    : context(node), desk(local_desk), jobs(local_jobs)
+    : context(node), server(local_server), jobs(local_jobs)
 {
 }
 
@@ -135,11 +135,11 @@
         {"stopping", stopping},
         {"configuration", describe_configuration(this->context.configuration)},
         {"store", describe_store(this->context.store)},
-        {"replicas", describe_replicas(this->context.replicas.book())},
+        {"replicas", describe_replicas(this->context.replicas.registry())},
         {"replicas_age_ms", to_milliseconds(this->context.replicas.age())},
         {"nodes", describe_nodes(this->context.group)},
         {"jobs", describe_jobs(this->jobs)},
-        {"pools", describe_pools(this->desk)}};
+        {"pools", describe_pools(this->server)}};
     return document.dump();
 }
 
--- a/src/relay/status_report.hpp
+++ b/src/relay/status_report.hpp
@@ -2,7 +2,7 @@
 
 #include "relay/job_service.hpp"
 #include "relay/relay_context.hpp"
-#include "relay/slot_desk.hpp"
+#include "relay/slot_server.hpp"
 
 #include <cstddef>
 #include <string>
@@ -15,7 +15,7 @@
 {
 public:
     /// \param node Outlives this object, as do the others.
-    status_report(const relay_context& node, const slot_desk& local_desk,
+    status_report(const relay_context& node, const slot_server& local_server,
                   const job_service& local_jobs);
 
     /// \param stopping Whether a planned stop is under way.
@@ -32,7 +32,7 @@
 
 private:
     const relay_context& context;
-    const slot_desk& desk;
+    const slot_server& server;
     const job_service& jobs;
 };
 
--- a/src/routing/replica_book.cpp
+++ b/src/routing/replica_registry.cpp
@@ -1,9 +1,9 @@
-#include "routing/replica_book.hpp"
+#include "routing/replica_registry.hpp"
 
 namespace parsleytrack::routing
 {
 
-void replica_book::replace_all(
+void replica_registry::replace_all(
     const std::map<replica_id, replica_entry>& listed, bool after_outage,
     time_point now)
 {
@@ -30,9 +30,9 @@
     }
 }
 
-void replica_book::update(const replica_entry& entry)
+void replica_registry::update(const replica_entry& entry)
 {
-    ++this->changes;
+    ++this->change_count;
     this->missing_until.erase(entry.id);
     const auto known = this->entries.find(entry.id);
     if (known != this->entries.end() &&
@@ -43,13 +43,13 @@
     this->entries[entry.id] = entry;
 }
 
-void replica_book::remove(const replica_id& id, time_point now)
+void replica_registry::remove(const replica_id& id, time_point now)
 {
     if (!this->entries.contains(id))
     {
         return;
     }
-    ++this->changes;
+    ++this->change_count;
     if (!this->store_reachable || now < this->grace_end)
     {
         this->missing_until.emplace(id, this->grace_end);
@@ -60,15 +60,15 @@
     this->missing_until.erase(id);
 }
 
-void replica_book::mark_leaving(const replica_id& id)
+void replica_registry::mark_leaving(const replica_id& id)
 {
     if (this->entries.contains(id) && this->leaving.insert(id).second)
     {
-        ++this->changes;
+        ++this->change_count;
     }
 }
 
-std::vector<replica_id> replica_book::expire(time_point now)
+std::vector<replica_id> replica_registry::expire(time_point now)
 {
     std::vector<replica_id> gone;
     if (!this->store_reachable || now < this->grace_end)
@@ -84,13 +84,13 @@
     this->missing_until.clear();
     if (!gone.empty())
     {
-        ++this->changes;
+        ++this->change_count;
     }
     return gone;
 }
 
 std::vector<const replica_entry*>
-replica_book::usable(const service_name& name) const
+replica_registry::usable(const service_name& name) const
 {
     std::vector<const replica_entry*> found;
     for (const auto& [id, entry] : this->entries)
@@ -103,7 +103,7 @@
     return found;
 }
 
-const replica_entry* replica_book::find_usable(const replica_id& id) const
+const replica_entry* replica_registry::find_usable(const replica_id& id) const
 {
     const auto found = this->entries.find(id);
     return found != this->entries.end() && this->is_usable(found->second)
@@ -111,7 +111,7 @@
                : nullptr;
 }
 
-bool replica_book::is_usable(const replica_entry& entry) const
+bool replica_registry::is_usable(const replica_entry& entry) const
 {
     return !entry.draining && !this->leaving.contains(entry.id);
 }
--- a/src/routing/replica_book.hpp
+++ b/src/routing/replica_registry.hpp
@@ -15,7 +15,7 @@
 /// from what requests to them have shown. Entries stay while the store is out
 /// of reach, and for a grace period after its return, since entries that
 /// lapsed in the outage come back within it.
-class replica_book
+class replica_registry
 {
 public:
     /// How long after the store's return a missing entry may still come back.
@@ -36,7 +36,7 @@
 
     /// The store has stopped answering: later removals may only mean that
     /// leases lapsed.
-    void store_lost() { this->store_reachable = false; }
+    void mark_store_unreachable() { this->store_reachable = false; }
 
     /// A replica has said itself that it is leaving, or that another one has
     /// its address. Holds for this life of the replica.
@@ -60,7 +60,7 @@
     }
 
     /// \returns Changes with every change of the entries.
-    std::uint64_t generation() const { return this->changes; }
+    std::uint64_t generation() const { return this->change_count; }
 
 private:
     bool is_usable(const replica_entry& entry) const;
@@ -72,7 +72,7 @@
     std::map<replica_id, time_point> missing_until;
     time_point grace_end = time_point::min();
     bool store_reachable = true;
-    std::uint64_t changes = 0;
+    std::uint64_t change_count = 0;
 };
 
 } // namespace parsleytrack::routing
--- a/src/slots/broker_choice.cpp
+++ b/src/slots/broker_selector.cpp
@@ -1,4 +1,4 @@
-#include "slots/broker_choice.hpp"
+#include "slots/broker_selector.hpp"
 
 #include "decisions/rendezvous.hpp"
 #include "decisions/strong_nodes.hpp"
@@ -9,26 +9,28 @@
 namespace parsleytrack::slots
 {
 
-broker_choice::broker_choice(duration silence_pause) : pause(silence_pause) {}
+broker_selector::broker_selector(duration exclusion) : exclusion_time(exclusion)
+{
+}
 
-bool broker_choice::note_silent(const node_id& node, time_point now)
+bool broker_selector::mark_unresponsive(const node_id& node, time_point now)
 {
     // Orders that were sent before it was found silent must not put off the
     // next attempt.
-    const auto known = this->silent_until.find(node);
-    if (known != this->silent_until.end() && now < known->second)
+    const auto known = this->excluded_until.find(node);
+    if (known != this->excluded_until.end() && now < known->second)
     {
         return false;
     }
-    this->silent_until[node] = now + this->pause;
+    this->excluded_until[node] = now + this->exclusion_time;
     this->choices.clear();
     return true;
 }
 
-const node_info& broker_choice::choose(const std::string& pool,
-                                       const node_info& own,
-                                       const std::vector<node_info>& living,
-                                       time_point now)
+const node_info&
+broker_selector::choose(const std::string& pool, const node_info& own,
+                        const std::vector<node_info>& live_nodes,
+                        time_point now)
 {
     const auto known = this->choices.find(pool);
     if (known != this->choices.end() && now < known->second.valid_until)
@@ -37,15 +39,15 @@
     }
     time_point valid_until = time_point::max();
     std::vector<node_info> candidates;
-    for (const node_info& node : living)
+    for (const node_info& node : live_nodes)
     {
-        const auto silent = this->silent_until.find(node.id);
-        if (silent == this->silent_until.end() || now >= silent->second)
+        const auto excluded = this->excluded_until.find(node.id);
+        if (excluded == this->excluded_until.end() || now >= excluded->second)
         {
             candidates.push_back(node);
             continue;
         }
-        valid_until = std::min(valid_until, silent->second);
+        valid_until = std::min(valid_until, excluded->second);
     }
     const node_info* best = &own;
     std::uint64_t best_score = 0;
--- a/src/slots/broker_choice.hpp
+++ b/src/slots/broker_selector.hpp
@@ -14,26 +14,26 @@
 /// Chooses the broker of each pool among the living nodes, so that all nodes
 /// with the same view choose the same one. A node that did not answer is left
 /// out for a while.
-class broker_choice
+class broker_selector
 {
 public:
-    /// \param silence_pause How long a silent node is left out.
-    explicit broker_choice(duration silence_pause);
+    /// \param exclusion How long a silent node is left out.
+    explicit broker_selector(duration exclusion);
 
     /// A node did not answer.
     ///
     /// \returns Whether it is left out from now on; not so when it was before.
-    bool note_silent(const node_id& node, time_point now);
+    bool mark_unresponsive(const node_id& node, time_point now);
 
     /// The living nodes have changed.
-    void forget() { this->choices.clear(); }
+    void clear_choices() { this->choices.clear(); }
 
     /// \param pool The pool's name.
     /// \param own This node, which is chosen when no other can be.
-    /// \param living All living nodes.
+    /// \param live_nodes All living nodes.
     /// \returns The broker; valid until the next call.
     const node_info& choose(const std::string& pool, const node_info& own,
-                            const std::vector<node_info>& living,
+                            const std::vector<node_info>& live_nodes,
                             time_point now);
 
 private:
@@ -44,8 +44,8 @@
         time_point valid_until;
     };
 
-    duration pause;
-    std::map<node_id, time_point> silent_until;
+    duration exclusion_time;
+    std::map<node_id, time_point> excluded_until;
     std::map<std::string, choice> choices;
 };
 
--- a/src/slots/slot_broker.cpp
+++ b/src/slots/slot_broker.cpp
@@ -8,7 +8,7 @@
 {
 
 slot_broker::slot_broker(const slot_broker_options& broker_options)
-    : options(broker_options), mean_hold(broker_options.first_hold_estimate)
+    : options(broker_options), mean_hold(broker_options.initial_hold_estimate)
 {
 }
 
@@ -27,8 +27,8 @@
         }
         replica_state state{replica,
                             replica_health(this->options.failure_limit,
-                                           this->options.first_pause,
-                                           this->options.longest_pause),
+                                           this->options.initial_backoff,
+                                           this->options.max_backoff),
                             0};
         for (const auto& [ticket, slot] : this->held)
         {
@@ -44,16 +44,17 @@
                           time_point now)
 {
     const waiting_request waiting{ticket, wanted};
-    queue& line =
+    queue& waiting_queue =
         wanted.kind == work_class::online ? this->online : this->batch;
-    line.emplace(rank_of(waiting, now >= wanted.useful_until), waiting);
+    waiting_queue.emplace(rank_of(waiting, now >= wanted.useful_until),
+                          waiting);
     this->serve(now);
 }
 
 void slot_broker::adopt(slot_ticket ticket, const slot_request& wanted,
                         const replica_id& replica, time_point now)
 {
-    this->hold(ticket, held_slot{replica, wanted, now, false});
+    this->add_held(ticket, held_slot{replica, wanted, now, false});
     const auto found = this->replicas.find(replica);
     if (found != this->replicas.end())
     {
@@ -61,7 +62,7 @@
     }
 }
 
-void slot_broker::end(slot_ticket ticket, time_point now)
+void slot_broker::release(slot_ticket ticket, time_point now)
 {
     const auto found = this->held.find(ticket);
     if (found == this->held.end())
@@ -77,7 +78,7 @@
     const held_slot slot = found->second;
     this->held.erase(found);
     this->batch_held -= slot.request.kind == work_class::batch ? 1 : 0;
-    this->reclaims_under_way -= slot.reclaimed ? 1 : 0;
+    this->pending_reclaims -= slot.reclaimed ? 1 : 0;
     const auto replica = this->replicas.find(slot.replica);
     if (replica != this->replicas.end())
     {
@@ -99,7 +100,7 @@
     const auto found = this->replicas.find(replica);
     if (found != this->replicas.end())
     {
-        found->second.health.failure(now);
+        found->second.health.record_failure(now);
     }
 }
 
@@ -108,7 +109,7 @@
     const auto found = this->replicas.find(replica);
     if (found != this->replicas.end())
     {
-        found->second.health.success();
+        found->second.health.record_success();
     }
 }
 
@@ -143,7 +144,7 @@
 void slot_broker::serve(time_point now)
 {
     this->serve_online(now);
-    this->refuse_hopeless(now);
+    this->refuse_unmeetable_deadlines(now);
     this->serve_batch(now);
     this->reclaim_for_waiting();
 }
@@ -187,13 +188,13 @@
 
 void slot_broker::reclaim_for_waiting()
 {
-    int wanted = -this->reclaims_under_way;
+    int wanted = -this->pending_reclaims;
     for (auto entry = this->online.begin();
          entry != this->online.end() && !entry->first.late; ++entry)
     {
         ++wanted;
     }
-    if (wanted <= 0 || this->batch_held <= this->reclaims_under_way)
+    if (wanted <= 0 || this->batch_held <= this->pending_reclaims)
     {
         return;
     }
@@ -212,10 +213,10 @@
     for (const auto& [due, ticket] : candidates)
     {
         this->held.at(ticket).reclaimed = true;
-        ++this->reclaims_under_way;
+        ++this->pending_reclaims;
         this->commands.push_back(
             slot_command{ticket,
-                         slot_verdict::reclaimed,
+                         slot_decision::reclaimed,
                          {},
                          {},
                          0,
@@ -223,7 +224,7 @@
     }
 }
 
-void slot_broker::refuse_hopeless(time_point now)
+void slot_broker::refuse_unmeetable_deadlines(time_point now)
 {
     std::size_t ahead = 0;
     for (auto entry = this->online.begin(); entry != this->online.end();)
@@ -266,7 +267,7 @@
     }
 }
 
-void slot_broker::hold(slot_ticket ticket, held_slot slot)
+void slot_broker::add_held(slot_ticket ticket, held_slot slot)
 {
     this->batch_held += slot.request.kind == work_class::batch ? 1 : 0;
     this->held.insert_or_assign(ticket, std::move(slot));
@@ -276,11 +277,11 @@
                         time_point now)
 {
     ++chosen.used;
-    this->hold(waiting.ticket,
-               held_slot{chosen.replica.id, waiting.request, now, false});
+    this->add_held(waiting.ticket,
+                   held_slot{chosen.replica.id, waiting.request, now, false});
     this->commands.push_back(slot_command{
         waiting.ticket,
-        slot_verdict::granted,
+        slot_decision::granted,
         chosen.replica.id,
         {},
         this->free_slots(now),
@@ -291,10 +292,10 @@
 {
     this->commands.push_back(
         slot_command{waiting.ticket,
-                     slot_verdict::refused,
+                     slot_decision::refused,
                      {},
-                     std::clamp(wait, this->options.shortest_retry_after,
-                                this->options.longest_retry_after),
+                     std::clamp(wait, this->options.min_retry_after,
+                                this->options.max_retry_after),
                      0,
                      static_cast<int>(this->online.size())});
 }
@@ -312,7 +313,7 @@
             continue;
         }
         const int free =
-            state.health.allowed(state.replica.slots, now) - state.used;
+            state.health.allowed_slots(state.replica.slots, now) - state.used;
         const std::tuple<bool, int> score{
             state.replica.availability_zone == wanted.availability_zone, free};
         if (free > 0 && (best == nullptr || score > best_score))
@@ -332,7 +333,8 @@
         if (state.health.usable(now))
         {
             total += std::max(
-                0, state.health.allowed(state.replica.slots, now) - state.used);
+                0, state.health.allowed_slots(state.replica.slots, now) -
+                       state.used);
         }
     }
     return total;
@@ -349,7 +351,7 @@
     const int total = this->total_slots();
     if (total == 0)
     {
-        return this->options.longest_retry_after;
+        return this->options.max_retry_after;
     }
     const auto beyond_reclaim =
         static_cast<std::int64_t>(ahead) + 1 - this->batch_held;
--- a/src/slots/slot_broker.hpp
+++ b/src/slots/slot_broker.hpp
@@ -35,7 +35,7 @@
                const replica_id& replica, time_point now);
 
     /// The slot is given back, or no longer asked for.
-    void end(slot_ticket ticket, time_point now);
+    void release(slot_ticket ticket, time_point now);
 
     /// A request to the replica has failed, or has been answered.
     void report_failure(const replica_id& replica, time_point now);
@@ -100,9 +100,9 @@
     void serve_online(time_point now);
     void serve_batch(time_point now);
     void reclaim_for_waiting();
-    void refuse_hopeless(time_point now);
+    void refuse_unmeetable_deadlines(time_point now);
     void expire(time_point now);
-    void hold(slot_ticket ticket, held_slot slot);
+    void add_held(slot_ticket ticket, held_slot slot);
     void grant(const waiting_request& waiting, replica_state& chosen,
                time_point now);
     void refuse(const waiting_request& waiting, duration wait);
@@ -114,7 +114,7 @@
     std::map<slot_ticket, held_slot> held;
     /// How many of them are held by batch work, and reclaimed.
     int batch_held = 0;
-    int reclaims_under_way = 0;
+    int pending_reclaims = 0;
     queue online;
     queue batch;
     duration mean_hold;
--- a/src/slots/slot_command.hpp
+++ b/src/slots/slot_command.hpp
@@ -7,7 +7,7 @@
 namespace parsleytrack::slots
 {
 
-enum class slot_verdict
+enum class slot_decision
 {
     /// The slot may be used.
     granted,
@@ -21,7 +21,7 @@
 struct slot_command
 {
     slot_ticket ticket;
-    slot_verdict verdict = slot_verdict::refused;
+    slot_decision decision = slot_decision::refused;
     /// Granted: where to.
     replica_id replica;
     /// Refused: when a slot is expected to be free.
--- a/tests/fuzz/platform_fuzz_test.cpp
+++ b/tests/fuzz/platform_fuzz_test.cpp
@@ -96,10 +96,10 @@
     jobs::job_input input;
     input.items.push_back(jobs::job_item{"a", "/b", {{"A", "b"}}, "body", {}});
     const std::string record = jobs::encode(input);
-    relay::slot_order order;
-    order.request = request_id("r");
-    order.excluded.insert(replica_id("i"));
-    const std::string message = relay::encode(order);
+    relay::slot_request request;
+    request.request = request_id("r");
+    request.excluded.insert(replica_id("i"));
+    const std::string message = relay::encode(request);
     for (int round = 0; round < rounds; ++round)
     {
         const std::string bytes = damaged(record, this->random);
@@ -109,8 +109,8 @@
         (void)jobs::decode_page(bytes);
         (void)jobs::decode_progress(bytes);
         const std::string call = damaged(message, this->random);
-        (void)relay::decode_slot_order(call);
-        (void)relay::decode_slot_answer(call);
+        (void)relay::decode_slot_request(call);
+        (void)relay::decode_slot_response(call);
         (void)relay::decode_replica_report(call);
     }
 }
--- a/tests/slots/broker_choice_test.cpp
+++ b/tests/slots/broker_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "slots/broker_choice.hpp"
+#include "slots/broker_selector.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -8,10 +8,10 @@
 using namespace parsleytrack::slots;
 using std::chrono::milliseconds;
 
-TEST_GROUP(broker_choice)
+TEST_GROUP(broker_selector)
 {
-    broker_choice choice{std::chrono::seconds(1)};
-    std::vector<node_info> living;
+    broker_selector selector{std::chrono::seconds(1)};
+    std::vector<node_info> live_nodes;
     time_point now = time_point() + std::chrono::hours(1);
 
     void setup() override
@@ -20,29 +20,31 @@
         {
             node_info node;
             node.id = node_id("n" + std::to_string(number));
-            this->living.push_back(node);
+            this->live_nodes.push_back(node);
         }
     }
 
     node_id choose()
     {
-        return this->choice
-            .choose("llm/0", this->living[0], this->living, this->now)
+        return this->selector
+            .choose("llm/0", this->live_nodes[0], this->live_nodes, this->now)
             .id;
     }
 };
 
-TEST(broker_choice, all_nodes_choose_alike)
+TEST(broker_selector, all_nodes_choose_alike)
 {
-    broker_choice other(std::chrono::seconds(1));
-    CHECK(this->choose() ==
-          other.choose("llm/0", this->living[3], this->living, this->now).id);
+    broker_selector other(std::chrono::seconds(1));
+    CHECK(
+        this->choose() ==
+        other.choose("llm/0", this->live_nodes[3], this->live_nodes, this->now)
+            .id);
 }
 
-TEST(broker_choice, a_silent_broker_is_left_out_for_a_while)
+TEST(broker_selector, a_silent_broker_is_left_out_for_a_while)
 {
     const node_id first = this->choose();
-    CHECK(this->choice.note_silent(first, this->now));
+    CHECK(this->selector.mark_unresponsive(first, this->now));
     CHECK(this->choose() != first);
     this->now += milliseconds(999);
     CHECK(this->choose() != first);
@@ -50,35 +52,35 @@
     CHECK(this->choose() == first);
 }
 
-TEST(broker_choice, orders_sent_before_do_not_keep_it_out)
+TEST(broker_selector, orders_sent_before_do_not_keep_it_out)
 {
     // Several orders are under way when a broker falls silent; each notes it.
     const node_id first = this->choose();
-    this->choice.note_silent(first, this->now);
-    for (int order = 0; order < 8; ++order)
+    this->selector.mark_unresponsive(first, this->now);
+    for (int request = 0; request < 8; ++request)
     {
         this->now += milliseconds(10);
-        CHECK_FALSE(this->choice.note_silent(first, this->now));
+        CHECK_FALSE(this->selector.mark_unresponsive(first, this->now));
     }
     CHECK(this->choose() != first);
     this->now += milliseconds(920);
     CHECK(this->choose() == first);
 }
 
-TEST(broker_choice, a_change_of_the_nodes_is_looked_at)
+TEST(broker_selector, a_change_of_the_nodes_is_looked_at)
 {
     const node_id first = this->choose();
-    std::erase_if(this->living,
+    std::erase_if(this->live_nodes,
                   [&first](const node_info& node) { return node.id == first; });
-    this->choice.forget();
+    this->selector.clear_choices();
     CHECK(this->choose() != first);
 }
 
-TEST(broker_choice, a_node_alone_asks_itself)
+TEST(broker_selector, a_node_alone_asks_itself)
 {
-    this->living.clear();
+    this->live_nodes.clear();
     node_info own;
     own.id = node_id("alone");
-    CHECK(this->choice.choose("llm/0", own, this->living, this->now).id ==
+    CHECK(this->selector.choose("llm/0", own, this->live_nodes, this->now).id ==
           own.id);
 }
--- /dev/null
+++ b/tests/slots/pool_selector_test.cpp
@@ -0,0 +1,75 @@
+#include "slots/pool_selector.hpp"
+#include "slots/replica_pools.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+#include <array>
+
+using namespace parsleytrack;
+using namespace parsleytrack::slots;
+
+TEST_GROUP(pool_selector)
+{
+    random_source random{7};
+    pool_selector selector;
+};
+
+TEST(pool_selector, prefers_pools_with_room)
+{
+    this->selector.set_pool_count(4);
+    this->selector.record_spare(2, 1000);
+    std::array<int, 4> chosen{};
+    for (int request = 0; request < 400; ++request)
+    {
+        ++chosen.at(static_cast<std::size_t>(this->selector.choose(random)));
+    }
+    // One draw in two hits it with either of two tries among four: 7/16.
+    CHECK(chosen[2] > 140);
+    CHECK(chosen[0] > 0);
+}
+
+TEST(pool_selector, an_order_leaves_a_pool_that_is_no_more)
+{
+    this->selector.set_pool_count(4);
+    CHECK_FALSE(this->selector.find_better_pool(3).has_value());
+    this->selector.set_pool_count(3);
+    CHECK(this->selector.find_better_pool(3).has_value());
+    CHECK(*this->selector.find_better_pool(3) < 3);
+}
+
+TEST(pool_selector, an_order_moves_from_a_full_pool_to_one_with_room)
+{
+    this->selector.set_pool_count(2);
+    this->selector.record_spare(0, -5);
+    this->selector.record_spare(1, 4);
+    CHECK_EQUAL(1, this->selector.find_better_pool(0).value_or(-1));
+    CHECK_FALSE(this->selector.find_better_pool(1).has_value());
+}
+
+TEST(pool_selector, an_order_stays_when_all_pools_are_full)
+{
+    this->selector.set_pool_count(2);
+    this->selector.record_spare(0, -5);
+    this->selector.record_spare(1, -1);
+    CHECK_FALSE(this->selector.find_better_pool(0).has_value());
+}
+
+TEST(pool_selector, replicas_are_divided_evenly_and_stay_where_they_are)
+{
+    const int before = pool_count(57);
+    CHECK_EQUAL(4, before);
+    std::array<int, 5> sizes{};
+    int moved = 0;
+    for (int number = 0; number < 1000; ++number)
+    {
+        const replica_id replica("replica-" + std::to_string(number));
+        const int pool = pool_of(replica, before);
+        ++sizes.at(static_cast<std::size_t>(pool));
+        moved += pool_of(replica, before + 1) != pool ? 1 : 0;
+    }
+    for (int pool = 0; pool < before; ++pool)
+    {
+        CHECK(sizes.at(static_cast<std::size_t>(pool)) > 200);
+    }
+    CHECK(moved < 260);
+}
--- a/tests/slots/slot_broker_test.cpp
+++ b/tests/slots/slot_broker_test.cpp
@@ -13,9 +13,9 @@
     slot_broker broker;
     time_point now{std::chrono::seconds(100)};
     std::int64_t next_ticket = 1;
-    std::map<slot_ticket, slot_command> last;
+    std::map<slot_ticket, slot_command> last_commands;
 
-    void replicas(int count, int slots, const char* zone = "z")
+    void set_replicas(int count, int slots, const char* zone = "z")
     {
         std::vector<slot_replica> usable;
         for (int number = 0; number < count; ++number)
@@ -27,8 +27,8 @@
         this->broker.set_replicas(usable, this->now);
     }
 
-    slot_ticket ask(work_class kind, duration useful_for,
-                    bool wait_when_late = false)
+    slot_ticket request_slot(work_class kind, duration useful_for,
+                             bool wait_when_late = false)
     {
         slot_request wanted;
         wanted.kind = kind;
@@ -42,20 +42,21 @@
 
     slot_ticket online()
     {
-        return this->ask(work_class::online, useful);
+        return this->request_slot(work_class::online, useful);
     }
     slot_ticket batch()
     {
-        return this->ask(work_class::batch, std::chrono::seconds(18), true);
+        return this->request_slot(work_class::batch, std::chrono::seconds(18),
+                                  true);
     }
 
-    void end(slot_ticket ticket)
+    void release(slot_ticket ticket)
     {
-        this->broker.end(ticket, this->now);
+        this->broker.release(ticket, this->now);
         this->collect();
     }
 
-    void pass(duration span)
+    void advance(duration span)
     {
         this->now += span;
         this->broker.tick(this->now);
@@ -66,14 +67,15 @@
     {
         for (const slot_command& command : this->broker.take_commands())
         {
-            this->last[command.ticket] = command;
+            this->last_commands[command.ticket] = command;
         }
     }
 
-    bool is(slot_ticket ticket, slot_verdict verdict) const
+    bool was_decided(slot_ticket ticket, slot_decision decision) const
     {
-        const auto found = this->last.find(ticket);
-        return found != this->last.end() && found->second.verdict == verdict;
+        const auto found = this->last_commands.find(ticket);
+        return found != this->last_commands.end() &&
+               found->second.decision == decision;
     }
 
     static constexpr duration useful = std::chrono::milliseconds(225);
@@ -81,11 +83,12 @@
 
 TEST(slot_broker, never_grants_more_than_the_slots)
 {
-    this->replicas(2, 3);
+    this->set_replicas(2, 3);
     int granted = 0;
     for (int count = 0; count < 10; ++count)
     {
-        granted += this->is(this->online(), slot_verdict::granted) ? 1 : 0;
+        granted +=
+            this->was_decided(this->online(), slot_decision::granted) ? 1 : 0;
     }
     CHECK_EQUAL(6, granted);
     CHECK_EQUAL(6, this->broker.used_slots());
@@ -106,7 +109,7 @@
         const slot_ticket ticket(this->next_ticket++);
         this->broker.request(ticket, wanted, this->now);
         this->collect();
-        ++chosen[this->last.at(ticket).replica.str()];
+        ++chosen[this->last_commands.at(ticket).replica.str()];
     }
     CHECK_EQUAL(2, chosen["near"]);
     CHECK_EQUAL(1, chosen["far"]);
@@ -114,49 +117,49 @@
 
 TEST(slot_broker, batch_fills_what_online_leaves_but_for_the_reserve)
 {
-    this->replicas(4, 8);
+    this->set_replicas(4, 8);
     for (int count = 0; count < 40; ++count)
     {
         this->batch();
     }
     CHECK_EQUAL(30, this->broker.used_slots());
-    CHECK(this->is(this->online(), slot_verdict::granted));
+    CHECK(this->was_decided(this->online(), slot_decision::granted));
 }
 
 // The pattern of the sites: online load comes in steps of seconds and finds
 // the slots taken by batch work.
 TEST(slot_broker, a_burst_gets_slots_back_from_batch_that_is_due_last)
 {
-    this->replicas(1, 4);
+    this->set_replicas(1, 4);
     const slot_ticket due_first =
-        this->ask(work_class::batch, std::chrono::seconds(5), true);
+        this->request_slot(work_class::batch, std::chrono::seconds(5), true);
     const slot_ticket due_last =
-        this->ask(work_class::batch, std::chrono::seconds(18), true);
+        this->request_slot(work_class::batch, std::chrono::seconds(18), true);
     this->batch();
     this->batch();
     const slot_ticket waiting = this->online();
-    CHECK_FALSE(this->is(waiting, slot_verdict::granted));
-    CHECK_FALSE(this->is(due_first, slot_verdict::reclaimed));
+    CHECK_FALSE(this->was_decided(waiting, slot_decision::granted));
+    CHECK_FALSE(this->was_decided(due_first, slot_decision::reclaimed));
     int reclaimed = 0;
-    for (const auto& [ticket, command] : this->last)
+    for (const auto& [ticket, command] : this->last_commands)
     {
-        reclaimed += command.verdict == slot_verdict::reclaimed ? 1 : 0;
+        reclaimed += command.decision == slot_decision::reclaimed ? 1 : 0;
     }
     CHECK_EQUAL(1, reclaimed);
-    for (const auto& [ticket, command] : std::map(this->last))
+    for (const auto& [ticket, command] : std::map(this->last_commands))
     {
-        if (command.verdict == slot_verdict::reclaimed)
+        if (command.decision == slot_decision::reclaimed)
         {
-            this->end(ticket);
+            this->release(ticket);
         }
     }
-    CHECK(this->is(waiting, slot_verdict::granted));
+    CHECK(this->was_decided(waiting, slot_decision::granted));
     (void)due_last;
 }
 
 TEST(slot_broker, one_slot_is_reclaimed_for_each_request_that_waits)
 {
-    this->replicas(1, 8);
+    this->set_replicas(1, 8);
     for (int count = 0; count < 8; ++count)
     {
         this->batch();
@@ -166,23 +169,24 @@
         this->online();
     }
     int reclaimed = 0;
-    for (const auto& [ticket, command] : this->last)
+    for (const auto& [ticket, command] : this->last_commands)
     {
-        reclaimed += command.verdict == slot_verdict::reclaimed ? 1 : 0;
+        reclaimed += command.decision == slot_decision::reclaimed ? 1 : 0;
     }
     CHECK_EQUAL(3, reclaimed);
 }
 
 TEST(slot_broker, what_cannot_be_served_in_time_is_refused_at_once)
 {
-    this->replicas(1, 2);
+    this->set_replicas(1, 2);
     this->online();
     this->online();
     // Each slot is held for some 0.5 s, so the wait is about 0.25 s.
     const slot_ticket late = this->online();
-    CHECK(this->is(late, slot_verdict::refused));
-    CHECK(this->last.at(late).retry_after >= std::chrono::milliseconds(200));
-    CHECK(this->last.at(late).retry_after <= std::chrono::seconds(2));
+    CHECK(this->was_decided(late, slot_decision::refused));
+    CHECK(this->last_commands.at(late).retry_after >=
+          std::chrono::milliseconds(200));
+    CHECK(this->last_commands.at(late).retry_after <= std::chrono::seconds(2));
 }
 
 TEST(slot_broker, callers_back_from_an_outage_do_not_make_new_ones_late)
@@ -190,7 +194,7 @@
     // After an outage most callers have waited longer than is of use. In order
     // of arrival they would take all slots, and each new caller would be late
     // as well, until the herd has passed.
-    this->replicas(2, 4);
+    this->set_replicas(2, 4);
     std::vector<slot_ticket> running;
     for (int slot = 0; slot < 8; ++slot)
     {
@@ -199,82 +203,84 @@
     std::vector<slot_ticket> herd;
     for (int caller = 0; caller < 50; ++caller)
     {
-        herd.push_back(this->ask(work_class::online, duration::zero(), true));
+        herd.push_back(
+            this->request_slot(work_class::online, duration::zero(), true));
     }
-    const slot_ticket fresh = this->ask(work_class::online, useful, true);
-    this->end(running[0]);
-    CHECK(this->is(fresh, slot_verdict::granted));
-    this->end(running[1]);
-    CHECK(this->is(herd[0], slot_verdict::granted));
+    const slot_ticket fresh =
+        this->request_slot(work_class::online, useful, true);
+    this->release(running[0]);
+    CHECK(this->was_decided(fresh, slot_decision::granted));
+    this->release(running[1]);
+    CHECK(this->was_decided(herd[0], slot_decision::granted));
 }
 
 TEST(slot_broker, a_request_that_has_become_late_is_refused)
 {
-    this->replicas(1, 8);
+    this->set_replicas(1, 8);
     for (int count = 0; count < 8; ++count)
     {
         this->online();
     }
     const slot_ticket waiting = this->online();
-    CHECK_FALSE(this->is(waiting, slot_verdict::refused));
-    this->pass(useful + std::chrono::milliseconds(1));
-    CHECK(this->is(waiting, slot_verdict::refused));
+    CHECK_FALSE(this->was_decided(waiting, slot_decision::refused));
+    this->advance(useful + std::chrono::milliseconds(1));
+    CHECK(this->was_decided(waiting, slot_decision::refused));
 }
 
 TEST(slot_broker, a_caller_that_was_refused_before_waits_behind_those_on_time)
 {
-    this->replicas(1, 8);
+    this->set_replicas(1, 8);
     std::vector<slot_ticket> running;
     for (int count = 0; count < 8; ++count)
     {
         running.push_back(this->online());
     }
     const slot_ticket again =
-        this->ask(work_class::online, duration::zero(), true);
-    this->pass(std::chrono::milliseconds(10));
+        this->request_slot(work_class::online, duration::zero(), true);
+    this->advance(std::chrono::milliseconds(10));
     const slot_ticket on_time = this->online();
-    this->end(running[0]);
-    CHECK(this->is(on_time, slot_verdict::granted));
-    this->end(running[1]);
-    CHECK(this->is(again, slot_verdict::granted));
+    this->release(running[0]);
+    CHECK(this->was_decided(on_time, slot_decision::granted));
+    this->release(running[1]);
+    CHECK(this->was_decided(again, slot_decision::granted));
 }
 
 TEST(slot_broker, a_replica_that_fails_is_left_alone_and_tried_again)
 {
-    this->replicas(1, 4);
+    this->set_replicas(1, 4);
     const slot_ticket first = this->online();
     this->broker.report_failure(replica_id("r0"), this->now);
     this->broker.report_failure(replica_id("r0"), this->now);
-    this->end(first);
-    CHECK_FALSE(this->is(this->online(), slot_verdict::granted));
-    this->pass(std::chrono::seconds(1));
+    this->release(first);
+    CHECK_FALSE(this->was_decided(this->online(), slot_decision::granted));
+    this->advance(std::chrono::seconds(1));
     // One at a time until it has answered.
-    CHECK(this->is(this->online(), slot_verdict::granted));
-    CHECK_FALSE(this->is(this->online(), slot_verdict::granted));
+    CHECK(this->was_decided(this->online(), slot_decision::granted));
+    CHECK_FALSE(this->was_decided(this->online(), slot_decision::granted));
     this->broker.report_success(replica_id("r0"));
-    CHECK(this->is(this->online(), slot_verdict::granted));
+    CHECK(this->was_decided(this->online(), slot_decision::granted));
 }
 
 TEST(slot_broker, adopted_slots_count)
 {
-    this->replicas(1, 2);
+    this->set_replicas(1, 2);
     slot_request wanted;
     wanted.useful_until = this->now + useful;
     const slot_ticket adopted(this->next_ticket++);
     this->broker.adopt(adopted, wanted, replica_id("r0"), this->now);
     this->online();
     CHECK_EQUAL(2, this->broker.used_slots());
-    CHECK_FALSE(this->is(this->online(), slot_verdict::granted));
-    this->end(adopted);
-    CHECK(this->is(this->online(), slot_verdict::granted));
+    CHECK_FALSE(this->was_decided(this->online(), slot_decision::granted));
+    this->release(adopted);
+    CHECK(this->was_decided(this->online(), slot_decision::granted));
 }
 
 TEST(slot_broker, without_replicas_online_is_refused_and_batch_waits)
 {
     const slot_ticket refused = this->online();
     const slot_ticket waiting = this->batch();
-    CHECK(this->is(refused, slot_verdict::refused));
-    this->replicas(1, 4);
-    this->pass(std::chrono::milliseconds(20));
-    CHECK(this->is(waiting, slot_verdict::granted));
+    CHECK(this->was_decided(refused, slot_decision::refused));
+    this->set_replicas(1, 4);
+    this->advance(std::chrono::milliseconds(20));
+    CHECK(this->was_decided(waiting, slot_decision::granted));
 }
