--- a/src/daemon/membership_module.cpp
+++ b/src/daemon/membership_module.cpp
@@ -75,7 +75,7 @@
 void membership_module::drain(std::function<void()> done)
 {
     this->members.announce_leaving();
-    this->driver.carry_out_commands();
+    this->driver.execute_commands();
     const auto& settings = this->context.settings;
     // Callers that keep a connection open learn from the last answers on it
     // that they have to ask for another address.
@@ -89,7 +89,7 @@
 void membership_module::leave()
 {
     this->members.announce_gone();
-    this->driver.carry_out_commands();
+    this->driver.execute_commands();
 }
 
 void membership_module::update_fleet()
--- a/src/feeds/feed_part.hpp
+++ b/src/feeds/feed_message.hpp
@@ -8,7 +8,7 @@
 {
 
 /// One message of a feed.
-struct feed_part
+struct feed_message
 {
     enum class kind
     {
--- a/src/feeds/feed_publisher.cpp
+++ b/src/feeds/feed_publisher.cpp
@@ -15,7 +15,7 @@
 /// hung.
 constexpr std::size_t max_unread_bytes = 4 * 1024 * 1024;
 
-error let_go(const char* why)
+error disconnected_error(const char* why)
 {
     return error{error_code::shutting_down, why, ran_state::no, {}};
 }
@@ -23,48 +23,50 @@
 } // namespace
 
 void feed_publisher::add(const std::shared_ptr<wire::peer_exchange>& exchange,
-                         const feed_part& first)
+                         const feed_message& first)
 {
-    this->receivers.push_back(exchange);
+    this->subscribers.push_back(exchange);
     const std::weak_ptr<wire::peer_exchange> observed = exchange;
     exchange->on_cancelled(
         [this, observed]
         {
-            std::erase_if(this->receivers,
-                          [kept = observed.lock()](const auto& receiver)
-                          { return receiver == kept; });
+            std::erase_if(this->subscribers,
+                          [kept = observed.lock()](const auto& subscriber)
+                          { return subscriber == kept; });
         });
     exchange->send_part(encode(first));
 }
 
-void feed_publisher::send(const feed_part& part)
+void feed_publisher::send(const feed_message& message)
 {
-    if (this->receivers.empty())
+    if (this->subscribers.empty())
     {
         return;
     }
-    const std::string bytes = encode(part);
-    for (auto entry = this->receivers.begin(); entry != this->receivers.end();)
+    const std::string bytes = encode(message);
+    for (auto entry = this->subscribers.begin();
+         entry != this->subscribers.end();)
     {
-        const auto receiver = *entry;
-        if (receiver->pending_output_bytes() > max_unread_bytes)
+        const auto subscriber = *entry;
+        if (subscriber->pending_output_bytes() > max_unread_bytes)
         {
             log_event(log_level::warning, "feed_receiver_let_go",
-                      {{"unread_bytes", receiver->pending_output_bytes()}});
-            entry = this->receivers.erase(entry);
-            receiver->fail(let_go("the messages are not read"));
+                      {{"unread_bytes", subscriber->pending_output_bytes()}});
+            entry = this->subscribers.erase(entry);
+            subscriber->fail(disconnected_error("the messages are not read"));
             continue;
         }
-        receiver->send_part(bytes);
+        subscriber->send_part(bytes);
         ++entry;
     }
 }
 
 void feed_publisher::close()
 {
-    for (const auto& receiver : std::exchange(this->receivers, {}))
+    for (const auto& subscriber : std::exchange(this->subscribers, {}))
     {
-        receiver->fail(let_go("this node no longer follows the store"));
+        subscriber->fail(
+            disconnected_error("this node no longer follows the store"));
     }
 }
 
--- a/src/feeds/feed_question.hpp
+++ b/src/feeds/feed_request.hpp
@@ -8,7 +8,7 @@
 {
 
 /// What a node asks a source for.
-struct feed_question
+struct feed_request
 {
     std::string prefix;
     /// The store's revision up to which the node is complete; 0 when it knows
--- a/src/feeds/feed_sources.cpp
+++ b/src/feeds/feed_sources.cpp
@@ -9,17 +9,17 @@
 namespace parsleytrack::feeds
 {
 
-std::vector<node_info> feed_sources(const std::vector<node_info>& living,
+std::vector<node_info> feed_sources(const std::vector<node_info>& live_nodes,
                                     std::string_view topic,
-                                    std::size_t most_alone)
+                                    std::size_t max_direct_followers)
 {
-    if (living.size() <= most_alone)
+    if (live_nodes.size() <= max_direct_followers)
     {
         return {};
     }
     std::vector<std::string> names;
-    names.reserve(living.size());
-    for (const node_info& node : living)
+    names.reserve(live_nodes.size());
+    for (const node_info& node : live_nodes)
     {
         names.push_back(node.id.str());
     }
@@ -30,12 +30,13 @@
     std::set<availability_zone_name> zones;
     for (const std::size_t index : order)
     {
-        const bool first = zones.insert(living[index].availability_zone).second;
-        (first ? sources : others).push_back(living[index]);
+        const bool first =
+            zones.insert(live_nodes[index].availability_zone).second;
+        (first ? sources : others).push_back(live_nodes[index]);
     }
     for (const node_info& node : others)
     {
-        if (sources.size() >= feeds_per_node)
+        if (sources.size() >= sources_per_node)
         {
             break;
         }
@@ -44,14 +45,14 @@
     return sources;
 }
 
-std::vector<node_info> feeds_of(const std::vector<node_info>& sources,
-                                const availability_zone_name& zone)
+std::vector<node_info> followed_sources(const std::vector<node_info>& sources,
+                                        const availability_zone_name& zone)
 {
     std::vector<node_info> chosen = sources;
     std::stable_partition(chosen.begin(), chosen.end(),
                           [&zone](const node_info& node)
                           { return node.availability_zone == zone; });
-    chosen.resize(std::min(chosen.size(), feeds_per_node));
+    chosen.resize(std::min(chosen.size(), sources_per_node));
     return chosen;
 }
 
--- a/src/feeds/merged_records.cpp
+++ b/src/feeds/merged_records.cpp
@@ -11,12 +11,12 @@
 
 /// Erased keys that are remembered: several times the replicas of the largest
 /// fleet that leave in a release.
-constexpr std::size_t max_erased = 4000;
+constexpr std::size_t max_erased_keys = 4000;
 
 } // namespace
 
 std::optional<merged_records::change_list>
-merged_records::take_all(const key_value::record_listing& listing)
+merged_records::apply_listing(const key_value::record_listing& listing)
 {
     if (listing.read_at < this->complete_to)
     {
@@ -54,9 +54,9 @@
 }
 
 merged_records::change_list
-merged_records::take_changes(const change_list& changes)
+merged_records::apply_changes(const change_list& changes)
 {
-    change_list news;
+    change_list updates;
     const store_revision known_before = this->complete_to;
     for (const key_value::record_change& change : changes)
     {
@@ -76,15 +76,15 @@
             this->records[change.record.key] = change.record;
         }
         this->complete_to = std::max(this->complete_to, revision);
-        news.push_back(change);
+        updates.push_back(change);
     }
-    return news;
+    return updates;
 }
 
 void merged_records::erase(const std::string& key, store_revision revision)
 {
     this->erased[key] = revision;
-    if (this->erased.size() > max_erased)
+    if (this->erased.size() > max_erased_keys)
     {
         this->erased.clear();
         this->erased_since = this->complete_to;
@@ -103,7 +103,7 @@
 }
 
 std::optional<merged_records::change_list>
-merged_records::since(store_revision position) const
+merged_records::changes_since(store_revision position) const
 {
     if (position < this->erased_since)
     {
--- a/src/feeds/merged_records.hpp
+++ b/src/feeds/merged_records.hpp
@@ -22,12 +22,12 @@
     ///
     /// \returns What it changes; absent when it is older than what is known.
     std::optional<change_list>
-    take_all(const key_value::record_listing& listing);
+    apply_listing(const key_value::record_listing& listing);
 
     /// Takes changes that follow what the same source has said before.
     ///
     /// \returns Those that were not known yet, in their order.
-    change_list take_changes(const change_list& changes);
+    change_list apply_changes(const change_list& changes);
 
     /// \returns Everything that is known.
     key_value::record_listing all() const;
@@ -35,7 +35,7 @@
     /// \param position A revision up to which someone else is complete.
     /// \returns What has changed since; absent when it is not known any more
     /// what was erased since.
-    std::optional<change_list> since(store_revision position) const;
+    std::optional<change_list> changes_since(store_revision position) const;
 
     std::size_t size() const { return this->records.size(); }
 
--- a/src/feeds/record_feed.cpp
+++ b/src/feeds/record_feed.cpp
@@ -18,12 +18,12 @@
 /// Longest time between two messages of a source. Two lost signs of life; with
 /// the call to the store that follows it is well below the two seconds in which
 /// changes are due.
-constexpr duration silence_timeout = std::chrono::milliseconds(1600);
+constexpr duration source_timeout = std::chrono::milliseconds(1600);
 /// Largest list that a source sends as a whole: some hundred kilobytes. Nodes
 /// with an older list of more records ask the store until they are up to date.
-constexpr std::size_t most_records_at_once = 500;
+constexpr std::size_t max_listing_records = 500;
 /// How long a source that could not be followed is left alone.
-constexpr duration retry_pause = std::chrono::seconds(3);
+constexpr duration retry_delay = std::chrono::seconds(3);
 /// How long a source must be well before the store is no longer asked.
 constexpr duration settling_time = std::chrono::seconds(2);
 
@@ -35,31 +35,32 @@
                          peering::peer_group& nodes,
                          random_source& random_numbers, std::string key_prefix,
                          duration pause_after_changes,
-                         std::size_t most_nodes_alone,
+                         std::size_t direct_follower_limit,
                          key_value::record_follower::callbacks listener)
     : loop(event_loop), peers(network), group(nodes),
-      prefix(std::move(key_prefix)), most_alone(most_nodes_alone),
-      hooks(std::move(listener)),
-      own(event_loop, client, random_numbers, this->prefix, pause_after_changes,
+      prefix(std::move(key_prefix)),
+      max_direct_followers(direct_follower_limit), hooks(std::move(listener)),
+      own_follower(
+          event_loop, client, random_numbers, this->prefix, pause_after_changes,
           {[this](const key_value::record_listing& listing, bool after_failure)
-           { this->take_all(listing, after_failure); },
+           { this->apply_listing(listing, after_failure); },
            [this](const std::vector<key_value::record_change>& changes)
-           { this->take_changes(changes); },
+           { this->apply_changes(changes); },
            [this](const error& reason)
            {
-               this->take_failure(reason);
+               this->handle_failure(reason);
            }})
 {
     this->peers.on_call(
         wire::message_type::record_feed,
         [this](const std::shared_ptr<wire::peer_exchange>& exchange)
-        { this->answer(exchange); });
+        { this->handle_request(exchange); });
 }
 
 void record_feed::start()
 {
     // A node that has just started knows of no sources yet.
-    this->own.start();
+    this->own_follower.start();
     this->group.on_change([this] { this->choose_sources(); });
     this->tick_timer =
         this->loop.call_every(tick_interval, [this] { this->tick(); });
@@ -67,20 +68,21 @@
 
 time_point record_feed::confirmed_at() const
 {
-    return std::max(this->own.confirmed_at(), this->last_part);
+    return std::max(this->own_follower.confirmed_at(), this->last_message_at);
 }
 
 void record_feed::choose_sources()
 {
-    const std::vector<node_info> all =
-        feed_sources(this->group.living(), this->prefix, this->most_alone);
+    const std::vector<node_info> all = feed_sources(
+        this->group.live_nodes(), this->prefix, this->max_direct_followers);
     const node_id& self = this->group.own().id;
     const bool is_source =
         std::any_of(all.begin(), all.end(),
                     [&self](const node_info& node) { return node.id == self; });
-    this->sources = all.empty() || is_source
-                        ? std::vector<node_info>()
-                        : feeds_of(all, this->group.own().availability_zone);
+    this->sources =
+        all.empty() || is_source
+            ? std::vector<node_info>()
+            : followed_sources(all, this->group.own().availability_zone);
     std::erase_if(this->subscriptions,
                   [this](const auto& entry)
                   {
@@ -89,16 +91,16 @@
                                           [&entry](const node_info& source)
                                           { return source.id == entry.first; });
                   });
-    if (this->sources.empty() && !this->own.is_running())
+    if (this->sources.empty() && !this->own_follower.is_running())
     {
         this->log_source("store_followed_alone", self.str(), "chosen");
-        this->own.start();
+        this->own_follower.start();
     }
 }
 
 void record_feed::tick()
 {
-    this->publisher.send(feed_part{feed_part::kind::unchanged, {}, {}});
+    this->publisher.send(feed_message{feed_message::kind::unchanged, {}, {}});
     for (const node_info& source : this->sources)
     {
         if (!this->subscriptions.contains(source.id) &&
@@ -108,16 +110,17 @@
         }
     }
     const time_point now = net::event_loop::now();
-    if (!this->has_well_source())
+    if (!this->has_healthy_source())
     {
-        this->well_since = now;
+        this->healthy_since = now;
         return;
     }
-    if (this->own.is_running() && now - this->well_since >= settling_time)
+    if (this->own_follower.is_running() &&
+        now - this->healthy_since >= settling_time)
     {
         this->log_source("store_followed_through_others",
                          this->sources.front().id.str(), "well");
-        this->own.stop();
+        this->own_follower.stop();
         this->publisher.close();
     }
 }
@@ -127,56 +130,60 @@
     subscription& entry = this->subscriptions[source.id];
     entry.call = this->peers.call(
         source.peer, wire::message_type::record_feed,
-        encode(feed_question{this->prefix, this->records.position()}),
-        silence_timeout,
+        encode(feed_request{this->prefix, this->records.position()}),
+        source_timeout,
         {[this, id = source.id](const std::string& bytes)
-         { this->take_part(id, bytes); },
+         { this->handle_message(id, bytes); },
          [this, id = source.id](const result<std::string>& end)
          {
-             this->lose(id, end.has_error() ? end.error().message : "ended");
+             this->end_subscription(id, end.has_error() ? end.error().message
+                                                        : "ended");
          }});
 }
 
-void record_feed::take_part(const node_id& source, const std::string& bytes)
+void record_feed::handle_message(const node_id& source,
+                                 const std::string& bytes)
 {
-    auto part = decode_part(bytes);
+    auto message = decode_message(bytes);
     const auto found = this->subscriptions.find(source);
-    if (part.has_error() || found == this->subscriptions.end())
+    if (message.has_error() || found == this->subscriptions.end())
     {
         this->log_source("feed_part_refused", source.str(),
-                         part.has_error() ? part.error().message : "not asked");
+                         message.has_error() ? message.error().message
+                                             : "not asked");
         return;
     }
-    this->last_part = net::event_loop::now();
-    switch (part.value().what)
+    this->last_message_at = net::event_loop::now();
+    switch (message.value().what)
     {
-    case feed_part::kind::all:
+    case feed_message::kind::all:
     {
-        found->second.well = true;
+        found->second.healthy = true;
         key_value::record_listing listing;
-        listing.read_at = part.value().position;
-        for (key_value::record_change& change : part.value().records)
+        listing.read_at = message.value().position;
+        for (key_value::record_change& change : message.value().records)
         {
             listing.records.push_back(std::move(change.record));
         }
-        this->take_all(listing, false);
+        this->apply_listing(listing, false);
         return;
     }
-    case feed_part::kind::changes:
-        found->second.well = true;
-        this->take_changes(part.value().records);
+    case feed_message::kind::changes:
+        found->second.healthy = true;
+        this->apply_changes(message.value().records);
         this->recover();
         return;
-    case feed_part::kind::unchanged:
+    case feed_message::kind::unchanged:
         return;
-    case feed_part::kind::failing:
+    case feed_message::kind::failing:
         this->source_failed = true;
-        this->lose(source, "the source does not reach the store");
+        this->end_subscription(source, "the source does not reach the store");
         return;
     }
 }
 
-void record_feed::lose(const node_id& source, const std::string& reason)
+void record_feed::end_subscription(const node_id& source,
+                                   const std::string& reason)
 {
     const auto found = this->subscriptions.find(source);
     if (found == this->subscriptions.end())
@@ -185,35 +192,36 @@
     }
     // The call may be the one whose callback runs.
     this->loop.free_later(std::move(found->second.call));
-    const bool was_well = found->second.well;
+    const bool was_healthy = found->second.healthy;
     this->retry_at[source] =
-        net::event_loop::now() + (was_well ? duration::zero() : retry_pause);
+        net::event_loop::now() + (was_healthy ? duration::zero() : retry_delay);
     this->subscriptions.erase(found);
-    if (was_well)
+    if (was_healthy)
     {
         this->log_source("feed_lost", source.str(), reason);
     }
-    if (!this->has_well_source() && !this->own.is_running())
+    if (!this->has_healthy_source() && !this->own_follower.is_running())
     {
         this->log_source("store_followed_alone", source.str(), reason);
-        this->own.start();
+        this->own_follower.start();
     }
 }
 
-bool record_feed::has_well_source() const
+bool record_feed::has_healthy_source() const
 {
     return std::any_of(this->subscriptions.begin(), this->subscriptions.end(),
-                       [](const auto& entry) { return entry.second.well; });
+                       [](const auto& entry) { return entry.second.healthy; });
 }
 
-void record_feed::answer(const std::shared_ptr<wire::peer_exchange>& exchange)
+void record_feed::handle_request(
+    const std::shared_ptr<wire::peer_exchange>& exchange)
 {
-    const auto question = decode_question(exchange->request());
-    const bool can_answer = question.has_value() &&
-                            question.value().prefix == this->prefix &&
-                            this->own.is_running() && !this->own.is_failing() &&
-                            this->records.position() > store_revision();
-    if (!can_answer)
+    const auto request = decode_request(exchange->request());
+    const bool can_serve =
+        request.has_value() && request.value().prefix == this->prefix &&
+        this->own_follower.is_running() && !this->own_follower.is_failing() &&
+        this->records.position() > store_revision();
+    if (!can_serve)
     {
         exchange->fail(error{error_code::no_replica,
                              "this node does not follow the store",
@@ -221,15 +229,15 @@
                              {}});
         return;
     }
-    feed_part first;
-    if (auto changes = this->records.since(question.value().position))
+    feed_message first;
+    if (auto changes = this->records.changes_since(request.value().position))
     {
-        first.what = feed_part::kind::changes;
+        first.what = feed_message::kind::changes;
         first.records = std::move(*changes);
         this->publisher.add(exchange, first);
         return;
     }
-    if (this->records.size() > most_records_at_once)
+    if (this->records.size() > max_listing_records)
     {
         exchange->fail(error{error_code::no_replica,
                              "what has changed since is not known any more",
@@ -237,7 +245,7 @@
                              {}});
         return;
     }
-    first.what = feed_part::kind::all;
+    first.what = feed_message::kind::all;
     const key_value::record_listing all = this->records.all();
     first.position = all.read_at;
     for (const key_value::stored_record& record : all.records)
@@ -247,10 +255,10 @@
     this->publisher.add(exchange, first);
 }
 
-void record_feed::take_all(const key_value::record_listing& listing,
-                           bool after_failure)
+void record_feed::apply_listing(const key_value::record_listing& listing,
+                                bool after_failure)
 {
-    const auto changes = this->records.take_all(listing);
+    const auto changes = this->records.apply_listing(listing);
     if (!changes)
     {
         this->recover();
@@ -261,21 +269,23 @@
     this->hooks.on_all(listing, after_failure || recovered || lost);
     if (!changes->empty())
     {
-        this->publisher.send(feed_part{feed_part::kind::changes, *changes, {}});
+        this->publisher.send(
+            feed_message{feed_message::kind::changes, *changes, {}});
     }
 }
 
-void record_feed::take_changes(
+void record_feed::apply_changes(
     const std::vector<key_value::record_change>& changes)
 {
-    const std::vector<key_value::record_change> news =
-        this->records.take_changes(changes);
-    if (news.empty())
+    const std::vector<key_value::record_change> updates =
+        this->records.apply_changes(changes);
+    if (updates.empty())
     {
         return;
     }
-    this->hooks.on_changes(news);
-    this->publisher.send(feed_part{feed_part::kind::changes, news, {}});
+    this->hooks.on_changes(updates);
+    this->publisher.send(
+        feed_message{feed_message::kind::changes, updates, {}});
 }
 
 void record_feed::recover()
@@ -286,11 +296,11 @@
     }
 }
 
-void record_feed::take_failure(const error& reason)
+void record_feed::handle_failure(const error& reason)
 {
-    this->publisher.send(feed_part{feed_part::kind::failing, {}, {}});
+    this->publisher.send(feed_message{feed_message::kind::failing, {}, {}});
     this->publisher.close();
-    if (this->has_well_source() || std::exchange(this->failing, true))
+    if (this->has_healthy_source() || std::exchange(this->failing, true))
     {
         return;
     }
--- a/src/key_value/record_adapter.hpp
+++ b/src/key_value/record_adapter.hpp
@@ -29,34 +29,34 @@
 public:
     virtual ~record_adapter() = default;
 
-    virtual net::http_request get(const std::string& key,
-                                  read_freshness freshness) const = 0;
+    virtual net::http_request get_request(const std::string& key,
+                                          read_freshness freshness) const = 0;
     virtual result<stored_record>
-    read_get(const std::string& key,
-             const net::http_response& response) const = 0;
+    parse_get_response(const std::string& key,
+                       const net::http_response& response) const = 0;
 
     /// \param after Only keys greater than this one; empty for all.
-    virtual net::http_request list(const std::string& prefix,
-                                   const std::string& after,
-                                   read_freshness freshness) const = 0;
+    virtual net::http_request list_request(const std::string& prefix,
+                                           const std::string& after,
+                                           read_freshness freshness) const = 0;
     virtual result<record_listing>
-    read_list(const net::http_response& response) const = 0;
+    parse_list_response(const net::http_response& response) const = 0;
 
     /// \param after The revision from which on changes are wanted.
     /// \param wait The longest time that the store may hold the call.
-    virtual net::http_request watch(const std::string& prefix,
-                                    store_revision after,
-                                    duration wait) const = 0;
+    virtual net::http_request watch_request(const std::string& prefix,
+                                            store_revision after,
+                                            duration wait) const = 0;
     virtual result<record_changes>
-    read_watch(const net::http_response& response) const = 0;
+    parse_watch_response(const net::http_response& response) const = 0;
 
     virtual net::http_request
-    commit(const record_transaction& transaction) const = 0;
+    commit_request(const record_transaction& transaction) const = 0;
     /// \returns The outcome. An error's `ran` is ran_state::no when the store
     /// has said that it did nothing.
     virtual result<transaction_outcome>
-    read_commit(const record_transaction& transaction,
-                const net::http_response& response) const = 0;
+    parse_commit_response(const record_transaction& transaction,
+                          const net::http_response& response) const = 0;
 };
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -78,23 +78,24 @@
                         int repeats, get_callback callback)
 {
     this->count_read(freshness);
-    this->send(this->adapter.get(key, freshness), call_timeout,
-               [this, key, freshness, repeats, callback = std::move(callback)](
-                   const result<net::http_response>& answer)
-               {
-                   if (answer.has_value())
-                   {
-                       callback(this->adapter.read_get(key, answer.value()));
-                   }
-                   else if (repeats > 0)
-                   {
-                       this->get(key, freshness, repeats - 1, callback);
-                   }
-                   else
-                   {
-                       callback(answer.error());
-                   }
-               });
+    this->send(
+        this->adapter.get_request(key, freshness), call_timeout,
+        [this, key, freshness, repeats, callback = std::move(callback)](
+            const result<net::http_response>& answer)
+        {
+            if (answer.has_value())
+            {
+                callback(this->adapter.parse_get_response(key, answer.value()));
+            }
+            else if (repeats > 0)
+            {
+                this->get(key, freshness, repeats - 1, callback);
+            }
+            else
+            {
+                callback(answer.error());
+            }
+        });
 }
 
 void record_client::list(const std::string& prefix, read_freshness freshness,
@@ -114,7 +115,7 @@
                                   : state->collected.records.back().key;
     this->count_read(state->freshness);
     net::http_request request =
-        this->adapter.list(state->prefix, after, state->freshness);
+        this->adapter.list_request(state->prefix, after, state->freshness);
     request.head_timeout = call_timeout;
     request.idle_timeout = call_timeout;
     this->send(std::move(request), listing_timeout,
@@ -125,7 +126,8 @@
                        state->callback(response.error());
                        return;
                    }
-                   auto page = this->adapter.read_list(response.value());
+                   auto page =
+                       this->adapter.parse_list_response(response.value());
                    if (page.has_error())
                    {
                        state->callback(page.error());
@@ -155,20 +157,22 @@
 void record_client::watch(const std::string& prefix, store_revision after,
                           watch_callback callback)
 {
-    net::http_request request = this->adapter.watch(prefix, after, watch_wait);
+    net::http_request request =
+        this->adapter.watch_request(prefix, after, watch_wait);
     request.probe_connection = true;
     ++this->counts.watches;
-    this->send(request, watch_timeout,
-               [this, callback = std::move(callback)](
-                   result<net::http_response> response)
-               {
-                   if (response.has_error())
-                   {
-                       callback(response.error());
-                       return;
-                   }
-                   callback(this->adapter.read_watch(response.value()));
-               });
+    this->send(
+        request, watch_timeout,
+        [this,
+         callback = std::move(callback)](result<net::http_response> response)
+        {
+            if (response.has_error())
+            {
+                callback(response.error());
+                return;
+            }
+            callback(this->adapter.parse_watch_response(response.value()));
+        });
 }
 
 void record_client::commit(record_transaction transaction, duration limit,
@@ -176,7 +180,7 @@
 {
     const auto state = std::make_shared<commit_state>();
     state->transaction = std::move(transaction);
-    state->request = this->adapter.commit(state->transaction);
+    state->request = this->adapter.commit_request(state->transaction);
     state->limit = net::event_loop::now() + limit;
     state->callback = std::move(callback);
     this->send_commit(state);
@@ -196,8 +200,8 @@
                        this->repeat_commit(state, response.error());
                        return;
                    }
-                   auto outcome = this->adapter.read_commit(state->transaction,
-                                                            response.value());
+                   auto outcome = this->adapter.parse_commit_response(
+                       state->transaction, response.value());
                    if (outcome.has_error())
                    {
                        this->repeat_commit(state, outcome.error());
--- a/src/peering/membership_driver.cpp
+++ b/src/peering/membership_driver.cpp
@@ -32,13 +32,13 @@
     this->peers.on_call(
         wire::message_type::view_exchange,
         [this](const std::shared_ptr<wire::peer_exchange>& exchange)
-        { this->answer_exchange(exchange); });
+        { this->handle_exchange_request(exchange); });
     this->tick_timer =
         event_loop.call_every(tick_interval,
                               [this]
                               {
                                   this->members.tick(net::event_loop::now());
-                                  this->carry_out_commands();
+                                  this->execute_commands();
                               });
 }
 
@@ -47,14 +47,14 @@
     const auto packet = decode_packet(bytes);
     if (packet.has_error())
     {
-        this->hooks.on_datagram_refused(from, packet.error());
+        this->hooks.on_datagram_rejected(from, packet.error());
         return;
     }
     this->members.receive(net::event_loop::now(), from, packet.value());
-    this->carry_out_commands();
+    this->execute_commands();
 }
 
-void membership_driver::answer_exchange(
+void membership_driver::handle_exchange_request(
     const std::shared_ptr<wire::peer_exchange>& exchange)
 {
     const auto request = decode_view(exchange->request());
@@ -63,11 +63,11 @@
         exchange->fail(request.error());
         return;
     }
-    const auto answer =
+    const auto response =
         this->members.answer_exchange(net::event_loop::now(), request.value());
-    if (answer)
+    if (response)
     {
-        exchange->finish(encode_view(*answer));
+        exchange->finish(encode_view(*response));
     }
     else
     {
@@ -77,7 +77,7 @@
                              ran_state::no,
                              {}});
     }
-    this->carry_out_commands();
+    this->execute_commands();
 }
 
 void membership_driver::finish_exchange(std::int64_t number,
@@ -89,20 +89,20 @@
         this->hooks.on_exchange_failed(outcome.error());
         return;
     }
-    const auto answer = decode_view(outcome.value());
-    if (answer.has_error())
+    const auto response = decode_view(outcome.value());
+    if (response.has_error())
     {
-        if (this->hooks.on_answer_refused)
+        if (this->hooks.on_response_rejected)
         {
-            this->hooks.on_answer_refused(answer.error());
+            this->hooks.on_response_rejected(response.error());
         }
         return;
     }
-    this->members.finish_exchange(net::event_loop::now(), answer.value());
-    this->carry_out_commands();
+    this->members.finish_exchange(net::event_loop::now(), response.value());
+    this->execute_commands();
 }
 
-void membership_driver::carry_out_commands()
+void membership_driver::execute_commands()
 {
     const std::vector<membership_command> commands =
         this->members.take_commands();
@@ -118,23 +118,23 @@
     }
     for (const membership_command& command : commands)
     {
-        std::visit([this](const auto& specific) { this->carry_out(specific); },
+        std::visit([this](const auto& specific) { this->execute(specific); },
                    command);
     }
 }
 
-void membership_driver::carry_out(const send_packet_command& command)
+void membership_driver::execute(const send_packet_command& command)
 {
     this->peers.send_datagram(command.target, encode_packet(command.packet));
 }
 
-void membership_driver::carry_out(const exchange_views_command& command)
+void membership_driver::execute(const exchange_views_command& command)
 {
     if (this->exchanges.size() >= max_exchanges)
     {
         return;
     }
-    const std::int64_t number = this->next_exchange++;
+    const std::int64_t number = this->next_exchange_number++;
     this->exchanges[number] = this->peers.call(
         command.target, wire::message_type::view_exchange,
         encode_view(this->members.open_exchange()), this->exchange_timeout,
@@ -145,12 +145,12 @@
          }});
 }
 
-void membership_driver::carry_out(const view_changed_command&)
+void membership_driver::execute(const view_changed_command&)
 {
     // The listener was told before the first command.
 }
 
-void membership_driver::carry_out(const node_dead_command& command)
+void membership_driver::execute(const node_dead_command& command)
 {
     log_event(log_level::warning, "node_dead",
               {{"peer_node", command.node.str()},
--- a/src/peering/membership_driver.hpp
+++ b/src/peering/membership_driver.hpp
@@ -24,11 +24,11 @@
         std::function<void()> on_view_changed;
         /// A datagram could not be read.
         std::function<void(const endpoint& from, const error&)>
-            on_datagram_refused;
+            on_datagram_rejected;
         /// A full exchange of views had no answer.
         std::function<void(const error&)> on_exchange_failed;
         /// The answer to one could not be read. Optional.
-        std::function<void(const error&)> on_answer_refused;
+        std::function<void(const error&)> on_response_rejected;
     };
 
     /// \param event_loop Outlives this object, as do the other references.
@@ -41,24 +41,25 @@
 
     /// Does what the membership has decided; to be called after each call of
     /// it from outside.
-    void carry_out_commands();
+    void execute_commands();
 
 private:
     void receive(const endpoint& from, std::string_view bytes);
-    void answer_exchange(const std::shared_ptr<wire::peer_exchange>& exchange);
+    void handle_exchange_request(
+        const std::shared_ptr<wire::peer_exchange>& exchange);
     void finish_exchange(std::int64_t number,
                          const result<std::string>& outcome);
-    void carry_out(const send_packet_command& command);
-    void carry_out(const exchange_views_command& command);
-    void carry_out(const view_changed_command& command);
-    void carry_out(const node_dead_command& command);
+    void execute(const send_packet_command& command);
+    void execute(const exchange_views_command& command);
+    void execute(const view_changed_command& command);
+    void execute(const node_dead_command& command);
 
     wire::peer_network& peers;
     membership& members;
     duration exchange_timeout;
     callbacks hooks;
     std::map<std::int64_t, std::unique_ptr<wire::peer_call>> exchanges;
-    std::int64_t next_exchange = 1;
+    std::int64_t next_exchange_number = 1;
     net::timer tick_timer;
 };
 
--- a/src/peering/peer_group.cpp
+++ b/src/peering/peer_group.cpp
@@ -27,7 +27,7 @@
     : board(own.id, static_cast<std::uint64_t>(own.incarnation.count())),
       members(own, group_options(), random_numbers, this->board),
       driver(event_loop, network, this->members, exchange_timeout,
-             {[this] { this->take_view(); },
+             {[this] { this->apply_view(); },
               [](const endpoint& from, const error& reason)
               {
                   log_event(
@@ -46,31 +46,31 @@
               }})
 {
     this->members.set_seeds(std::move(seeds));
-    this->update_living();
+    this->update_live_nodes();
 }
 
-void peer_group::take_view()
+void peer_group::apply_view()
 {
-    this->update_living();
+    this->update_live_nodes();
     for (const auto& callback : this->change_callbacks)
     {
         callback();
     }
 }
 
-void peer_group::update_living()
+void peer_group::update_live_nodes()
 {
     std::set<node_id> before;
-    for (const node_info& node : this->alive)
+    for (const node_info& node : this->live)
     {
         before.insert(node.id);
     }
     const std::vector<node_info> all = this->members.nodes();
-    this->alive.clear();
-    std::copy_if(all.begin(), all.end(), std::back_inserter(this->alive),
+    this->live.clear();
+    std::copy_if(all.begin(), all.end(), std::back_inserter(this->live),
                  [](const node_info& node)
                  { return node.state == node_state::alive; });
-    for (const node_info& node : this->alive)
+    for (const node_info& node : this->live)
     {
         if (before.erase(node.id) == 0)
         {
@@ -93,7 +93,7 @@
                {"address", to_string(node.peer)},
                {"state", std::string(to_string(node.state))},
                {"incarnation", node.incarnation.count()},
-               {"living", this->alive.size()}});
+               {"living", this->live.size()}});
 }
 
 std::optional<node_info> peer_group::find(const node_id& id) const
@@ -114,13 +114,13 @@
 void peer_group::announce_leaving()
 {
     this->members.announce_leaving();
-    this->driver.carry_out_commands();
+    this->driver.execute_commands();
 }
 
 void peer_group::announce_gone()
 {
     this->members.announce_gone();
-    this->driver.carry_out_commands();
+    this->driver.execute_commands();
 }
 
 } // namespace parsleytrack::peering
--- a/src/peering/peer_group.hpp
+++ b/src/peering/peer_group.hpp
@@ -28,7 +28,7 @@
 
     /// \returns Nodes that are held to live, this one included, leaving ones
     /// left out.
-    const std::vector<node_info>& living() const { return this->alive; }
+    const std::vector<node_info>& live_nodes() const { return this->live; }
 
     /// \returns All nodes that are remembered, the dead ones included.
     std::vector<node_info> all() const { return this->members.nodes(); }
@@ -45,13 +45,13 @@
     void announce_gone();
 
 private:
-    void take_view();
-    void update_living();
+    void apply_view();
+    void update_live_nodes();
     void log_change(const char* event, const node_info& node) const;
     gossip_board board;
     membership members;
     membership_driver driver;
-    std::vector<node_info> alive;
+    std::vector<node_info> live;
     std::vector<std::function<void()>> change_callbacks;
 };
 
--- a/src/relay/address_service.cpp
+++ b/src/relay/address_service.cpp
@@ -23,7 +23,7 @@
     const std::shared_ptr<net::http_exchange>& exchange,
     const address_question& question)
 {
-    std::vector<node_info> nodes = this->context.group.living();
+    std::vector<node_info> nodes = this->context.group.live_nodes();
     std::erase_if(nodes, [](const node_info& node) { return !node.entry; });
     std::shuffle(nodes.begin(), nodes.end(), this->context.random);
     std::stable_partition(
@@ -47,8 +47,8 @@
               {{"host", question.host},
                {"zone", question.availability_zone.str()},
                {"count", answer.addresses.size()}});
-    exchange->respond_json(200,
-                           this->context.adapter.write_address_answer(answer));
+    exchange->respond_json(
+        200, this->context.adapter.format_address_response(answer));
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/configuration_follower.cpp
+++ b/src/relay/configuration_follower.cpp
@@ -35,7 +35,7 @@
     {
         return;
     }
-    auto read = this->adapter.read_configuration(record.value);
+    auto read = this->adapter.parse_configuration(record.value);
     if (read.has_error())
     {
         log_event(log_level::error, "configuration_refused",
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -102,7 +102,7 @@
                           const std::string& body) mutable
                       {
                           auto items =
-                              this->context.adapter.read_submission(body);
+                              this->context.adapter.parse_submission(body);
                           if (items.has_error())
                           {
                               log_event(log_level::info, "job_refused",
@@ -224,7 +224,7 @@
         [this, exchange, after = call.after](const jobs::job_page& page)
     {
         exchange->respond_json(
-            status_ok, this->context.adapter.write_results(page, after));
+            status_ok, this->context.adapter.format_results(page, after));
     };
     const auto found = this->owned.find(call.job);
     if (found != this->owned.end())
--- a/src/relay/relay_adapter.hpp
+++ b/src/relay/relay_adapter.hpp
@@ -33,30 +33,30 @@
 
     /// \param value What operators have written.
     virtual result<routing::configuration>
-    read_configuration(std::string_view value) const = 0;
+    parse_configuration(std::string_view value) const = 0;
 
     /// \param key The key of the entry.
     /// \param value What the replica has written of itself.
     virtual result<routing::replica_entry>
-    read_replica(const std::string& key, std::string_view value) const = 0;
+    parse_replica(const std::string& key, std::string_view value) const = 0;
 
     /// \returns The question; absent when the request is another one.
     virtual std::optional<address_question>
-    read_address_question(const net::http_request_head& head) const = 0;
+    parse_address_request(const net::http_request_head& head) const = 0;
     virtual std::string
-    write_address_answer(const address_answer& answer) const = 0;
+    format_address_response(const address_answer& answer) const = 0;
 
     /// \returns The call; absent when the request is another one.
     virtual std::optional<job_call>
-    read_job_call(const net::http_request_head& head) const = 0;
+    parse_job_call(const net::http_request_head& head) const = 0;
     /// \returns The items of a submission, or error_code::bad_request.
     virtual result<std::vector<jobs::job_item>>
-    read_submission(std::string_view body) const = 0;
-    virtual std::string write_results(const jobs::job_page& page,
-                                      std::size_t after) const = 0;
+    parse_submission(std::string_view body) const = 0;
+    virtual std::string format_results(const jobs::job_page& page,
+                                       std::size_t after) const = 0;
 
     /// \returns The body that tells operators how far a retirement is.
-    virtual std::string write_retirement_state(bool completed) const = 0;
+    virtual std::string format_retirement_state(bool completed) const = 0;
 };
 
 } // namespace parsleytrack::relay
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -78,9 +78,10 @@
                 this->settings.seeds),
           configuration(this->loop, this->store, this->random,
                         protocol_adapter),
-          replicas(this->loop, this->store, this->peers, this->group,
-                   this->random, protocol_adapter,
-                   static_cast<std::size_t>(this->settings.most_alone))
+          replicas(
+              this->loop, this->store, this->peers, this->group, this->random,
+              protocol_adapter,
+              static_cast<std::size_t>(this->settings.max_direct_followers))
     {
     }
 
@@ -194,7 +195,7 @@
         return;
     }
     const net::http_request_head& head = exchange->head();
-    if (const auto call = this->adapter.read_job_call(head))
+    if (const auto call = this->adapter.parse_job_call(head))
     {
         this->jobs.take(exchange, *call);
         return;
@@ -235,7 +236,7 @@
 void relay_node::state::take_directory(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
-    const auto question = this->adapter.read_address_question(exchange->head());
+    const auto question = this->adapter.parse_address_request(exchange->head());
     if (!question)
     {
         refuse(*exchange, error{error_code::not_found,
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -23,11 +23,11 @@
                                    peering::peer_group& nodes,
                                    random_source& random_numbers,
                                    const relay_adapter& protocol_adapter,
-                                   std::size_t most_alone)
+                                   std::size_t max_direct_followers)
     : loop(event_loop), adapter(protocol_adapter),
       follower(event_loop, client, network, nodes, random_numbers,
                protocol_adapter.keys().replica_prefix, collecting_time,
-               most_alone,
+               max_direct_followers,
                {[this](const key_value::record_listing& listing, bool failed)
                 { this->take_listing(listing, failed); },
                 [this](const std::vector<key_value::record_change>& changes)
@@ -75,7 +75,7 @@
     std::map<replica_id, routing::replica_entry> entries;
     for (const key_value::stored_record& record : listing.records)
     {
-        auto entry = this->adapter.read_replica(record.key, record.value);
+        auto entry = this->adapter.parse_replica(record.key, record.value);
         if (entry.has_error())
         {
             log_event(log_level::warning, "replica_entry_skipped",
@@ -106,7 +106,7 @@
         this->replicas.remove(id, net::event_loop::now());
         return;
     }
-    auto entry = this->adapter.read_replica(key, change.record.value);
+    auto entry = this->adapter.parse_replica(key, change.record.value);
     if (entry.has_error())
     {
         log_event(log_level::warning, "replica_entry_skipped",
--- a/src/relay/replica_follower.hpp
+++ b/src/relay/replica_follower.hpp
@@ -21,7 +21,7 @@
                      wire::peer_network& network, peering::peer_group& nodes,
                      random_source& random_numbers,
                      const relay_adapter& protocol_adapter,
-                     std::size_t most_alone);
+                     std::size_t max_direct_followers);
 
     void start() { this->follower.start(); }
 
--- a/src/relay/slot_client.cpp
+++ b/src/relay/slot_client.cpp
@@ -138,7 +138,7 @@
 const node_info& slot_client::broker_of(const slot_pool& pool)
 {
     return this->brokers.choose(pool.name(), this->context.group.own(),
-                                this->context.group.living(),
+                                this->context.group.live_nodes(),
                                 net::event_loop::now());
 }
 
--- a/src/relay/storage_node.cpp
+++ b/src/relay/storage_node.cpp
@@ -69,7 +69,7 @@
     const std::string key =
         this->adapter.keys().retirement_state_prefix + this->settings.id.str();
     key_value::record_transaction transaction;
-    transaction.puts = {{key, this->adapter.write_retirement_state(true)}};
+    transaction.puts = {{key, this->adapter.format_retirement_state(true)}};
     this->store.commit(
         std::move(transaction), report_limit,
         [this](const result<key_value::transaction_outcome>& outcome)
--- a/src/settings/relay_settings.hpp
+++ b/src/settings/relay_settings.hpp
@@ -35,7 +35,7 @@
     endpoint store;
     /// Up to so many nodes all follow the store's list of replicas; in larger
     /// groups most follow it through a few others.
-    int most_alone = 16;
+    int max_direct_followers = 16;
     /// How long callers may keep an address answer.
     duration address_validity = std::chrono::seconds(2);
     /// How long after its submission a finished job's results stay readable.
--- a/src/settings/relay_settings_loader.cpp
+++ b/src/settings/relay_settings_loader.cpp
@@ -84,13 +84,14 @@
     {
         seed.port = settings.peer.port;
     }
-    reader.object("store",
-                  [&settings](object_reader& part)
-                  {
-                      settings.store = read_address(part, "address");
-                      settings.most_alone = static_cast<int>(part.number(
-                          "most_nodes_alone", settings.most_alone, 1, 10'000));
-                  });
+    reader.object(
+        "store",
+        [&settings](object_reader& part)
+        {
+            settings.store = read_address(part, "address");
+            settings.max_direct_followers = static_cast<int>(part.number(
+                "most_nodes_alone", settings.max_direct_followers, 1, 10'000));
+        });
     reader.object("addresses",
                   [&settings](object_reader& part)
                   {
--- a/tests/feeds/feed_sources_test.cpp
+++ b/tests/feeds/feed_sources_test.cpp
@@ -25,29 +25,32 @@
     return made;
 }
 
-constexpr std::size_t most_alone = 16;
+constexpr std::size_t max_direct_followers = 16;
 
 } // namespace
 
 TEST_GROUP(feed_sources){};
 
-TEST(feed_sources, small_groups_have_none)
+TEST(feed_sources, small_groups_have_no_sources)
 {
-    CHECK(feed_sources(nodes(16, 3), "t", most_alone).empty());
-    CHECK_FALSE(feed_sources(nodes(17, 3), "t", most_alone).empty());
+    CHECK(feed_sources(nodes(16, 3), "t", max_direct_followers).empty());
+    CHECK_FALSE(feed_sources(nodes(17, 3), "t", max_direct_followers).empty());
 }
 
-TEST(feed_sources, their_number_does_not_grow_with_the_group)
+TEST(feed_sources, the_number_of_sources_is_independent_of_group_size)
 {
-    CHECK_EQUAL(4, feed_sources(nodes(70, 4), "t", most_alone).size());
-    CHECK_EQUAL(4, feed_sources(nodes(390, 4), "t", most_alone).size());
-    CHECK_EQUAL(2, feed_sources(nodes(390, 1), "t", most_alone).size());
+    CHECK_EQUAL(4,
+                feed_sources(nodes(70, 4), "t", max_direct_followers).size());
+    CHECK_EQUAL(4,
+                feed_sources(nodes(390, 4), "t", max_direct_followers).size());
+    CHECK_EQUAL(2,
+                feed_sources(nodes(390, 1), "t", max_direct_followers).size());
 }
 
-TEST(feed_sources, a_node_that_comes_or_goes_moves_few)
+TEST(feed_sources, a_joining_node_replaces_at_most_one_source)
 {
-    const auto before = feed_sources(nodes(70, 4), "t", most_alone);
-    const auto after = feed_sources(nodes(71, 4), "t", most_alone);
+    const auto before = feed_sources(nodes(70, 4), "t", max_direct_followers);
+    const auto after = feed_sources(nodes(71, 4), "t", max_direct_followers);
     const auto kept =
         std::count_if(after.begin(), after.end(),
                       [&before](const node_info& node) {
@@ -57,10 +60,10 @@
     CHECK(kept >= 3);
 }
 
-TEST(feed_sources, a_node_follows_two_the_nearest_first)
+TEST(feed_sources, a_node_follows_two_sources_and_prefers_its_zone)
 {
-    const auto sources = feed_sources(nodes(70, 4), "t", most_alone);
-    const auto chosen = feeds_of(sources, availability_zone_name("z2"));
+    const auto sources = feed_sources(nodes(70, 4), "t", max_direct_followers);
+    const auto chosen = followed_sources(sources, availability_zone_name("z2"));
     CHECK_EQUAL(2, chosen.size());
     STRCMP_EQUAL("z2", chosen[0].availability_zone.str().c_str());
 }
--- a/tests/feeds/merged_records_test.cpp
+++ b/tests/feeds/merged_records_test.cpp
@@ -44,82 +44,84 @@
     merged_records merged;
 };
 
-TEST(merged_records, an_older_listing_undoes_nothing)
+TEST(merged_records, an_older_listing_is_ignored)
 {
-    CHECK(this->merged.take_all(listing({change("a", 3), change("b", 5)}, 9))
-              .has_value());
+    CHECK(
+        this->merged.apply_listing(listing({change("a", 3), change("b", 5)}, 9))
+            .has_value());
     CHECK_FALSE(
-        this->merged.take_all(listing({change("a", 3)}, 4)).has_value());
+        this->merged.apply_listing(listing({change("a", 3)}, 4)).has_value());
     CHECK_EQUAL(2, this->merged.all().records.size());
     CHECK_EQUAL(9, this->merged.position().count());
 }
 
-TEST(merged_records, a_change_that_is_known_is_no_news)
+TEST(merged_records, known_changes_are_not_reported_again)
 {
-    this->merged.take_all(listing({change("a", 3)}, 9));
-    const auto news = this->merged.take_changes(
+    this->merged.apply_listing(listing({change("a", 3)}, 9));
+    const auto updates = this->merged.apply_changes(
         {change("a", 8), change("b", 10), change("a", 11, true)});
-    CHECK_EQUAL(2, news.size());
+    CHECK_EQUAL(2, updates.size());
     CHECK_EQUAL(1, this->merged.all().records.size());
     STRCMP_EQUAL("b", this->merged.all().records[0].key.c_str());
-    CHECK_EQUAL(0, this->merged.take_changes({change("b", 10)}).size());
+    CHECK_EQUAL(0, this->merged.apply_changes({change("b", 10)}).size());
 }
 
-TEST(merged_records, a_listing_says_what_it_changes)
+TEST(merged_records, a_listing_reports_its_changes)
 {
-    this->merged.take_all(
+    this->merged.apply_listing(
         listing({change("a", 3), change("b", 5), change("c", 6)}, 9));
-    const auto changes =
-        this->merged.take_all(listing({change("a", 3), change("b", 11)}, 12));
+    const auto changes = this->merged.apply_listing(
+        listing({change("a", 3), change("b", 11)}, 12));
     CHECK_EQUAL(2, changes->size());
     STRCMP_EQUAL("b", changes->at(0).record.key.c_str());
     CHECK(changes->at(1).deleted);
 }
 
-TEST(merged_records, tells_what_has_changed_since_a_position)
+TEST(merged_records, returns_the_changes_since_a_position)
 {
-    this->merged.take_all(listing({change("a", 3), change("b", 5)}, 9));
-    this->merged.take_changes({change("a", 10, true), change("c", 11)});
-    CHECK_FALSE(this->merged.since(store_revision(8)).has_value());
-    CHECK_EQUAL(2, this->merged.since(store_revision(9))->size());
-    const auto last = this->merged.since(store_revision(10));
+    this->merged.apply_listing(listing({change("a", 3), change("b", 5)}, 9));
+    this->merged.apply_changes({change("a", 10, true), change("c", 11)});
+    CHECK_FALSE(this->merged.changes_since(store_revision(8)).has_value());
+    CHECK_EQUAL(2, this->merged.changes_since(store_revision(9))->size());
+    const auto last = this->merged.changes_since(store_revision(10));
     CHECK_EQUAL(1, last->size());
     STRCMP_EQUAL("c", last->at(0).record.key.c_str());
-    CHECK(this->merged.since(store_revision(11))->empty());
+    CHECK(this->merged.changes_since(store_revision(11))->empty());
 }
 
-TEST(merged_records, a_node_that_asks_for_changes_ends_with_the_same_records)
+TEST(merged_records, a_subscriber_converges_to_the_records_of_its_source)
 {
     constexpr int rounds = 300;
     random_source random(11);
     for (int round = 0; round < rounds; ++round)
     {
         merged_records source;
-        merged_records asker;
+        merged_records subscriber;
         const auto first = listing({change("a", 1), change("b", 2)}, 2);
-        source.take_all(first);
-        asker.take_all(first);
+        source.apply_listing(first);
+        subscriber.apply_listing(first);
         for (std::int64_t revision = 3; revision < 60; ++revision)
         {
             const std::string key(1, static_cast<char>('a' + random() % 5));
-            source.take_changes(
+            source.apply_changes(
                 {change(key.c_str(), revision, random() % 3 == 0)});
             if (random() % 7 == 0)
             {
-                asker.take_changes(*source.since(asker.position()));
+                subscriber.apply_changes(
+                    *source.changes_since(subscriber.position()));
             }
         }
-        asker.take_changes(*source.since(asker.position()));
-        CHECK_EQUAL(source.size(), asker.size());
+        subscriber.apply_changes(*source.changes_since(subscriber.position()));
+        CHECK_EQUAL(source.size(), subscriber.size());
         for (std::size_t index = 0; index < source.size(); ++index)
         {
             CHECK(source.all().records[index].revision ==
-                  asker.all().records[index].revision);
+                  subscriber.all().records[index].revision);
         }
     }
 }
 
-TEST(merged_records, two_sources_in_any_order_end_in_what_the_store_has)
+TEST(merged_records, interleaved_sources_converge_to_the_store)
 {
     constexpr int rounds = 500;
     constexpr int revisions = 60;
@@ -129,7 +131,7 @@
         merged_records joined;
         std::vector<record_change> history;
         std::map<std::string, std::int64_t> store;
-        std::array<std::size_t, 2> told{};
+        std::array<std::size_t, 2> delivered{};
         for (std::int64_t revision = 1; revision <= revisions; ++revision)
         {
             const std::string key(1, static_cast<char>('a' + random() % 5));
@@ -138,19 +140,19 @@
             deleted ? store.erase(key) : (store[key] = revision, 0);
             // Each source tells its part of the history in order, and is
             // behind by a different measure.
-            for (std::size_t& position : told)
+            for (std::size_t& position : delivered)
             {
                 const std::size_t until =
                     position + random() % (history.size() - position + 1);
-                joined.take_changes(std::vector<record_change>(
+                joined.apply_changes(std::vector<record_change>(
                     history.begin() + static_cast<std::ptrdiff_t>(position),
                     history.begin() + static_cast<std::ptrdiff_t>(until)));
                 position = until;
             }
         }
-        for (const std::size_t position : told)
+        for (const std::size_t position : delivered)
         {
-            joined.take_changes(std::vector<record_change>(
+            joined.apply_changes(std::vector<record_change>(
                 history.begin() + static_cast<std::ptrdiff_t>(position),
                 history.end()));
         }
--- a/tests/fuzz/platform_fuzz_test.cpp
+++ b/tests/fuzz/platform_fuzz_test.cpp
@@ -84,10 +84,10 @@
         const auto answer = response(
             this->random() % 4 == 0 ? 412 : 200,
             damaged(store_answers.at(this->random() % 3), this->random));
-        (void)kv.read_get("k", answer);
-        (void)kv.read_list(answer);
-        (void)kv.read_watch(answer);
-        (void)kv.read_commit({}, answer);
+        (void)kv.parse_get_response("k", answer);
+        (void)kv.parse_list_response(answer);
+        (void)kv.parse_watch_response(answer);
+        (void)kv.parse_commit_response({}, answer);
     }
 }
 
--- a/tests/platform/configuration_decoder_test.cpp
+++ b/tests/platform/configuration_decoder_test.cpp
@@ -26,7 +26,7 @@
 
 TEST_GROUP(configuration_decoder){};
 
-TEST(configuration_decoder, reads_all_fields)
+TEST(configuration_decoder, parses_all_fields)
 {
     const auto read = decode_configuration(full);
     CHECK(read.has_value());
@@ -51,7 +51,7 @@
     CHECK_EQUAL(4'194'304, contents.limits.body.count());
 }
 
-TEST(configuration_decoder, an_unknown_kind_allows_least)
+TEST(configuration_decoder, an_unknown_kind_is_not_repeatable)
 {
     const auto read = decode_configuration(
         R"({"version":1,"routes":[{"host":"h","prefix":"/","kind":"new",
@@ -59,7 +59,7 @@
     CHECK_FALSE(read.value().routes[0].is_repeatable());
 }
 
-TEST(configuration_decoder, refuses_what_it_cannot_use)
+TEST(configuration_decoder, rejects_invalid_documents)
 {
     for (
         const char* text :
--- a/tests/platform/job_translation_test.cpp
+++ b/tests/platform/job_translation_test.cpp
@@ -26,7 +26,7 @@
 }
 ;
 
-TEST(job_translation, reads_a_submission)
+TEST(job_translation, decodes_a_submission)
 {
     const auto items = decode_submission(good);
     CHECK_EQUAL(1, items.value().size());
@@ -37,7 +37,7 @@
     CHECK_EQUAL(2, item.headers.size());
 }
 
-TEST(job_translation, refuses_bad_submissions)
+TEST(job_translation, rejects_invalid_submissions)
 {
     for (const char* text :
          {"", "{}", R"({"items":[]})", R"({"items":[{}]})",
@@ -57,7 +57,7 @@
     CHECK(decode_submission(many + "}").has_error());
 }
 
-TEST(job_translation, knows_the_calls_about_jobs)
+TEST(job_translation, decodes_job_calls)
 {
     net::http_request_head read = head("GET", "/v1/lots/7c");
     read.query["after"] = "12";
--- a/tests/platform/replica_decoder_test.cpp
+++ b/tests/platform/replica_decoder_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_GROUP(replica_decoder){static bool reads(const std::string& text){
+TEST_GROUP(replica_decoder){static bool is_valid(const std::string& text){
     return decode_replica(replica_id("i"), text).has_value();
 }
 
@@ -29,7 +29,7 @@
 }
 ;
 
-TEST(replica_decoder, reads_an_entry)
+TEST(replica_decoder, decodes_an_entry)
 {
     const auto read = decode_replica(replica_id("i"), good);
     CHECK(read.has_value());
@@ -42,19 +42,19 @@
               .draining);
 }
 
-TEST(replica_decoder, an_entry_of_another_writer_names_no_replica)
+TEST(replica_decoder, rejects_invalid_entries)
 {
-    CHECK_FALSE(reads(""));
-    CHECK_FALSE(reads("\xff\xfe"));
-    CHECK_FALSE(reads("null"));
-    CHECK_FALSE(reads("[]"));
-    CHECK_FALSE(reads(with("\"ready\"", "\"resting\"")));
-    CHECK_FALSE(reads(with("\"ready\"", "3")));
-    CHECK_FALSE(reads(with("8,", "\"8\",")));
-    CHECK_FALSE(reads(with("8,", "0,")));
-    CHECK_FALSE(reads(with("8,", "8.5,")));
-    CHECK_FALSE(reads(with("10.128.0.9:8080", "host:8080")));
-    CHECK_FALSE(reads(with("\"service\":\"s\"", "\"other\":1")));
+    CHECK_FALSE(is_valid(""));
+    CHECK_FALSE(is_valid("\xff\xfe"));
+    CHECK_FALSE(is_valid("null"));
+    CHECK_FALSE(is_valid("[]"));
+    CHECK_FALSE(is_valid(with("\"ready\"", "\"resting\"")));
+    CHECK_FALSE(is_valid(with("\"ready\"", "3")));
+    CHECK_FALSE(is_valid(with("8,", "\"8\",")));
+    CHECK_FALSE(is_valid(with("8,", "0,")));
+    CHECK_FALSE(is_valid(with("8,", "8.5,")));
+    CHECK_FALSE(is_valid(with("10.128.0.9:8080", "host:8080")));
+    CHECK_FALSE(is_valid(with("\"service\":\"s\"", "\"other\":1")));
     CHECK_FALSE(decode_replica(replica_id(), good).has_value());
 }
 
--- a/tests/relay_process/feed_test.cpp
+++ b/tests/relay_process/feed_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr int node_count = 5;
 /// So that two of the nodes follow the store and three follow these.
-constexpr int most_alone = 2;
+constexpr int max_direct_followers = 2;
 constexpr std::size_t sources = 2;
 const std::string replicas = "servers/";
 
@@ -73,8 +73,9 @@
 
 TEST(relay_feeds, few_nodes_follow_the_store_and_all_learn_of_changes)
 {
-    relay_fleet fleet(relay_fleet_options{.node_count = node_count,
-                                          .most_alone = most_alone});
+    relay_fleet fleet(
+        relay_fleet_options{.node_count = node_count,
+                            .max_direct_followers = max_direct_followers});
     settle(fleet);
     // A leaving replica gets nothing new two seconds after its word.
     fleet.store.put("servers/i-0", fleet.engines[0]->entry("llm", "draining"));
@@ -88,8 +89,9 @@
 
 TEST(relay_feeds, nodes_that_the_store_turns_away_learn_of_changes)
 {
-    relay_fleet fleet(relay_fleet_options{.node_count = node_count,
-                                          .most_alone = most_alone});
+    relay_fleet fleet(
+        relay_fleet_options{.node_count = node_count,
+                            .max_direct_followers = max_direct_followers});
     const std::set<int> found = settle(fleet);
     for (int node = 0; node < node_count; ++node)
     {
@@ -105,8 +107,9 @@
 
 TEST(relay_feeds, sources_that_fall_silent_are_replaced)
 {
-    relay_fleet fleet(relay_fleet_options{.node_count = node_count,
-                                          .most_alone = most_alone});
+    relay_fleet fleet(
+        relay_fleet_options{.node_count = node_count,
+                            .max_direct_followers = max_direct_followers});
     const std::set<int> found = settle(fleet);
     for (const int node : found)
     {
@@ -127,8 +130,9 @@
 
 TEST(relay_feeds, an_outage_is_asked_about_sparingly)
 {
-    relay_fleet fleet(relay_fleet_options{.node_count = node_count,
-                                          .most_alone = most_alone});
+    relay_fleet fleet(
+        relay_fleet_options{.node_count = node_count,
+                            .max_direct_followers = max_direct_followers});
     settle(fleet);
     for (int node = 0; node < node_count; ++node)
     {
--- a/tests/relay_support/relay_fleet.cpp
+++ b/tests/relay_support/relay_fleet.cpp
@@ -200,7 +200,7 @@
         {"seeds", seeds},
         {"store",
          {{"address", to_string(store_address)},
-          {"most_nodes_alone", this->options.most_alone}}},
+          {"most_nodes_alone", this->options.max_direct_followers}}},
         {"addresses", {{"validity_s", 0.5}}},
         {"jobs", {{"keep_results_s", this->options.keep_results_s}}},
         {"stop", {{"limit_s", 8}}}};
--- a/tests/relay_support/relay_fleet_options.hpp
+++ b/tests/relay_support/relay_fleet_options.hpp
@@ -10,7 +10,7 @@
     /// How long results stay readable, in seconds.
     int keep_results_s = 900;
     /// Up to so many nodes all follow the store.
-    int most_alone = 16;
+    int max_direct_followers = 16;
     int engine_count = 3;
     /// Whether each node reaches the store, and all reach each replica, through
     /// a proxy that can harm the connections.
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -69,8 +69,10 @@
 {
     random_source random(seed);
     violations found;
-    relay_support::relay_fleet fleet(relay_support::relay_fleet_options{
-        .node_count = node_count, .most_alone = 3, .has_proxies = true});
+    relay_support::relay_fleet fleet(
+        relay_support::relay_fleet_options{.node_count = node_count,
+                                           .max_direct_followers = 3,
+                                           .has_proxies = true});
     for (const auto& engine : fleet.engines)
     {
         engine->event_interval = event_interval;
