--- a/src/relay/address_service.cpp
+++ b/src/relay/address_service.cpp
@@ -23,7 +23,7 @@
     const std::shared_ptr<net::http_exchange>& exchange,
     const address_request& request)
 {
-    std::vector<node_info> nodes = this->context.group.living();
+    std::vector<node_info> nodes = this->context.group.live_nodes();
     std::erase_if(nodes, [](const node_info& node) { return !node.entry; });
     std::shuffle(nodes.begin(), nodes.end(), this->context.random);
     std::stable_partition(
@@ -48,7 +48,7 @@
                {"zone", request.availability_zone.str()},
                {"count", response.addresses.size()}});
     exchange->respond_json(
-        200, this->context.adapter.write_address_response(response));
+        200, this->context.adapter.format_address_response(response));
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/configuration_follower.cpp
+++ b/src/relay/configuration_follower.cpp
@@ -36,7 +36,7 @@
     {
         return;
     }
-    auto read = this->adapter.read_configuration(record.value);
+    auto read = this->adapter.parse_configuration(record.value);
     if (read.has_error())
     {
         log_event(log_level::error, "configuration_refused",
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -78,9 +78,10 @@
                 this->settings.seeds),
           configuration(this->loop, this->store, this->random,
                         protocol_adapter),
-          replicas(this->loop, this->store, this->peers, this->group,
-                   this->random, protocol_adapter,
-                   static_cast<std::size_t>(this->settings.most_alone))
+          replicas(
+              this->loop, this->store, this->peers, this->group, this->random,
+              protocol_adapter,
+              static_cast<std::size_t>(this->settings.max_direct_followers))
     {
     }
 
@@ -196,7 +197,7 @@
         return;
     }
     const net::http_request_head& head = exchange->head();
-    if (const auto call = this->adapter.read_job_call(head))
+    if (const auto call = this->adapter.parse_job_call(head))
     {
         this->jobs.handle_call(exchange, *call);
         return;
@@ -237,7 +238,7 @@
 void relay_node::state::handle_address_request(
     const std::shared_ptr<net::http_exchange>& exchange)
 {
-    const auto request = this->adapter.read_address_request(exchange->head());
+    const auto request = this->adapter.parse_address_request(exchange->head());
     if (!request)
     {
         refuse(*exchange, error{error_code::not_found,
