--- a/src/peering/membership_driver.cpp
+++ b/src/peering/membership_driver.cpp
@@ -143,7 +143,7 @@
                          {{},
                           [this, number](const result<std::string>& outcome)
                           {
-                              this->handle_exchange_response(number, outcome);
+                              this->finish_exchange(number, outcome);
                           }});
 }
 
