--- a/src/decisions/board_item.hpp
+++ b/src/decisions/board_item.hpp
@@ -8,7 +8,7 @@
 namespace parsleytrack
 {
 
-/// A value of the gossip board on its way between nodes.
+/// A gossip board value as it is sent between nodes.
 struct board_item
 {
     std::string topic;
--- a/src/decisions/board_outbox.cpp
+++ b/src/decisions/board_outbox.cpp
@@ -10,7 +10,8 @@
 namespace
 {
 
-/// \returns A step that visits all positions before it repeats one.
+/// \returns A stride coprime to count, which visits all positions before it
+/// repeats one.
 std::size_t stride_for(std::size_t count, std::size_t salt)
 {
     std::size_t stride = 1 + salt % count;
@@ -74,7 +75,8 @@
         {
             return used;
         }
-        // What is larger than any packet travels by full exchanges only.
+        // A value too large for any packet is skipped; only full exchanges
+        // carry it.
         version = item.version;
         if (used + size <= room)
         {
--- a/src/decisions/board_version.hpp
+++ b/src/decisions/board_version.hpp
@@ -8,10 +8,11 @@
 namespace parsleytrack
 {
 
-/// Names the newest value of a topic that a node holds of another.
+/// The version of the newest value that the sender holds for a topic and node.
 struct board_version
 {
     std::string topic;
+    /// The node that published the value.
     node_id node;
     std::uint64_t version = 0;
 };
--- a/src/decisions/gossip_board.hpp
+++ b/src/decisions/gossip_board.hpp
@@ -12,14 +12,14 @@
 namespace parsleytrack
 {
 
-/// Small facts that each node tells all others of its region. Only the newest
-/// value of a topic is kept for each node; it may arrive late or not at all.
+/// Small values that each node publishes to all nodes of its region. Only the
+/// newest value per topic and node is kept; it may arrive late or not at all.
 class gossip_board
 {
 public:
-    /// Gets the node that published and its new value.
+    /// Called with the publishing node and its new value.
     using callback = std::function<void(const node_id&, const std::string&)>;
-    /// Spreads a value of this node; set by the membership.
+    /// Sends a value of this node to the other nodes.
     using sender =
         std::function<void(const std::string& topic, std::uint64_t version,
                            const std::string& value)>;
@@ -32,42 +32,44 @@
     };
 
     /// \param own The node that publishes here.
-    /// \param first_version Versions count up from here; to be larger than any
-    /// that an earlier process of this node used, such as the wall clock's
-    /// microseconds.
+    /// \param first_version Versions count up from this one. It must be greater
+    /// than any that an earlier process of this node used; for example, the
+    /// wall clock in microseconds.
     gossip_board(node_id own, std::uint64_t first_version);
 
-    /// Sets this node's value of a topic and has it spread.
+    /// Sets this node's value of a topic and sends it to the other nodes.
     ///
-    /// \param topic A short name; costs its length in every packet.
+    /// \param topic A short name, since every packet with a value contains it.
     /// \param value At most about 1,000 bytes.
     void publish(const std::string& topic, const std::string& value);
 
-    /// \param topic Which values the callback gets.
+    /// Registers a callback for new values of a topic, including this node's.
     void subscribe(const std::string& topic, callback callback);
 
-    /// \returns Each node's newest value of a topic, this node's included.
+    /// \returns Each node's newest value of a topic, including this node's.
     const std::map<node_id, entry>& latest(const std::string& topic) const;
 
-    /// Takes in a value that another node published.
+    /// Stores a value that a node published, unless it is outdated.
     ///
-    /// \returns Whether it was news.
+    /// \returns Whether the value was newer than the stored one.
     bool receive(const node_id& from, const std::string& topic,
                  std::uint64_t version, const std::string& value);
 
-    /// Another node holds a value of this node from an earlier process, whose
-    /// clock was ahead: publishes everything again with higher versions.
+    /// Publishes all values of this node again with versions above the given
+    /// one, unless the next version is above it already. Needed when another
+    /// node holds a value from an earlier process of this node whose clock was
+    /// ahead.
     ///
-    /// \param version The version that it holds.
+    /// \param version The version that the other node holds.
     void republish_above(std::uint64_t version);
 
-    /// Forgets what a node that is gone has published.
+    /// Erases all values that a node has published.
     void erase_node(const node_id& node);
 
-    /// \param send Called for each publish().
+    /// \param send Called with each value that publish() sets.
     void set_sender(sender send);
 
-    /// \returns All topics with their entries.
+    /// \returns The newest values by topic and node.
     const std::map<std::string, std::map<node_id, entry>>& all() const
     {
         return this->topics;
--- a/src/decisions/high_capacity_nodes.hpp
+++ b/src/decisions/high_capacity_nodes.hpp
@@ -7,9 +7,9 @@
 namespace parsleytrack
 {
 
-/// Leaves only nodes that may take on work for the others.
+/// Selects the nodes that are eligible to do work for the others.
 ///
-/// \param nodes Living nodes.
+/// \param nodes Live nodes.
 /// \returns Those with at least half of the largest capacity among them.
 std::vector<node_info> high_capacity_nodes(std::vector<node_info> nodes);
 
--- a/src/decisions/member_table.cpp
+++ b/src/decisions/member_table.cpp
@@ -52,10 +52,10 @@
         return false;
     }
     check_invariant(known.record.node.incarnation >= before.node.incarnation,
-                    "the incarnation of a node never goes down");
+                    "the incarnation of a node must not decrease");
     check_invariant(known.record.node.incarnation > before.node.incarnation ||
                         known.record.leaving || !before.leaving,
-                    "a leaving node stays so within its incarnation");
+                    "a node must stay leaving within an incarnation");
     this->rebuild_indexes();
     return true;
 }
--- a/src/decisions/member_table.hpp
+++ b/src/decisions/member_table.hpp
@@ -9,41 +9,41 @@
 namespace parsleytrack
 {
 
-/// What is believed of the other nodes of a region. Records are joined so
-/// that the order in which they arrive does not matter: the higher
-/// incarnation wins, and within one incarnation the worse state.
+/// The believed states of the other nodes of a region. Merging claims does not
+/// depend on their order of arrival: the higher incarnation wins, and within
+/// one incarnation the worse state.
 class member_table
 {
 public:
     struct member
     {
         member_record record;
-        /// When the state was last changed.
+        /// When the state last changed.
         time_point since;
     };
 
-    /// Takes in a claim about a node.
+    /// Merges a claim about a node.
     ///
-    /// \returns Whether it was news. A claim that an unknown node is dead is
-    /// not, so that forgotten nodes stay forgotten.
+    /// \returns Whether the claim changed the table. A claim that an unknown
+    /// node is dead does not, so that evicted nodes are not added again.
     bool merge(const member_record& claim, time_point now);
 
-    /// Holds the clocks of all suspicions for a time in which this process
-    /// could not have heard a refutation.
+    /// Extends all suspicions by the time in which this process could not have
+    /// received a refutation.
     void delay_suspicions(duration pause);
 
-    /// \returns The nodes that have been suspected for at least so long.
+    /// \returns The nodes that have been suspected for at least the given time.
     std::vector<node_id> suspected_for(duration span, time_point now) const;
 
-    /// Forgets the nodes that have been dead for at least so long.
+    /// Evicts the nodes that have been dead for at least the given time.
     ///
-    /// \returns The nodes that were forgotten.
+    /// \returns The evicted nodes.
     std::vector<node_id> evict_dead(duration span, time_point now);
 
-    /// \returns The node, or null when it is not known.
+    /// \returns The node, or null if it is not known.
     const member* find(const node_id& id) const;
 
-    /// \returns All known nodes, the dead ones included.
+    /// \returns All known nodes, including dead ones.
     const std::map<node_id, member>& all() const { return this->members; }
 
     /// \returns The nodes that are not dead.
--- a/src/decisions/membership.cpp
+++ b/src/decisions/membership.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// How many nodes a node tells at once that it stops.
+/// How many nodes a stopping node informs at once, before regular gossip.
 constexpr std::size_t stop_announcement_fanout = 5;
 constexpr std::size_t max_salt = 1'000'000;
 constexpr duration eviction_interval = std::chrono::seconds(10);
@@ -76,8 +76,8 @@
     {
         return false;
     }
-    // Answers that came meanwhile wait in the socket, so that a missing one
-    // says nothing.
+    // Acknowledgements that arrived during the stall are still unread in the
+    // socket, so a missing one is no sign of a failure.
     this->probes.clear();
     this->relayed.clear();
     this->table.delay_suspicions(pause);
@@ -158,8 +158,8 @@
 
 void membership::probe_suspects()
 {
-    // A refutation may have been lost on its way here; the suspect is told of
-    // the suspicion and answers with its newer incarnation.
+    // An earlier refutation may have been lost on its way here. The probe
+    // carries the suspicion, and the suspect replies with a newer incarnation.
     for (const node_id& id : this->table.suspects())
     {
         this->send_untracked_probe(id);
@@ -168,8 +168,8 @@
 
 void membership::probe_one_dead()
 {
-    // After a cut both sides hold each other dead; the one that is asked finds
-    // a stranger and asks for its view.
+    // After a network partition both sides consider each other dead. The
+    // probed node sees a sender that it believes dead and exchanges views.
     std::vector<node_id> dead;
     for (const auto& [id, known] : this->table.all())
     {
@@ -196,8 +196,8 @@
 
 std::optional<node_id> membership::next_probe_target()
 {
-    // Every node is probed once in each round, so that the time until a
-    // failure is noticed is bounded.
+    // Each round probes every node once, which bounds the time to detect a
+    // failure.
     for (int round = 0; round < 2; ++round)
     {
         while (!this->probe_order.empty())
--- a/src/decisions/membership.hpp
+++ b/src/decisions/membership.hpp
@@ -21,60 +21,64 @@
 namespace parsleytrack
 {
 
-/// Finds out which nodes of the region live, by probes and gossip in the
-/// manner of SWIM, and spreads the gossip board by the same packets. After
-/// each call take_commands() says what is to be done.
+/// Detects which nodes of the region are alive by SWIM-style probes and gossip,
+/// and spreads the gossip board in the same packets. After each call the caller
+/// executes the commands that take_commands() returns.
 class membership
 {
 public:
-    /// \param own This node. Its incarnation must be above any that an earlier
-    /// process of the same id had, such as the wall clock's microseconds.
-    /// \param options Times and bounds.
+    /// \param own This node. Its incarnation must be greater than that of any
+    /// earlier process with the same id; for example, the wall clock in
+    /// microseconds.
+    /// \param options Timeouts, intervals and limits.
     /// \param random_numbers Outlives this object.
     /// \param values The board; outlives this object.
     membership(const node_info& own, const membership_options& options,
                random_source& random_numbers, gossip_board& values);
 
-    /// Replaces the addresses through which this node joins.
+    /// Replaces the seed addresses through which this node joins the region.
     void set_seeds(std::vector<endpoint> addresses);
 
-    /// To be called about every tenth of a second.
+    /// Runs all periodic work; to be called about every 100 ms.
     void tick(time_point now);
 
-    /// Takes in a datagram.
+    /// Handles a datagram from another node.
     void receive(time_point now, const endpoint& from,
                  const membership_packet& packet);
 
-    /// Passes on a value that this node has published.
+    /// Queues this node's newly published value of a topic for all nodes.
     void publish(const std::string& topic);
 
-    /// \returns The request of a full exchange.
+    /// \returns The request that starts a full exchange of views.
     view_message make_exchange_request() const;
 
-    /// \returns The answer to the request of another node; absent for one of
-    /// another region.
+    /// \returns The response to another node's request; absent if that node
+    /// belongs to another region or this one has announced that it is gone.
     std::optional<view_message>
     handle_exchange_request(time_point now, const view_message& request);
 
-    /// Takes in the answer to a request.
+    /// Merges the response to a request of this node.
     void handle_exchange_response(time_point now, const view_message& response);
 
-    /// Announces a planned stop.
+    /// Announces that this node will stop, while it still serves.
     void announce_leaving();
 
-    /// Announces that this node is gone; the last thing that it says.
+    /// Announces that this node has stopped. It neither sends nor handles
+    /// anything afterwards.
     void announce_gone();
 
-    /// \returns What is to be done, in order.
+    /// \returns The pending commands, in the order of execution; clears them.
     std::vector<membership_command> take_commands();
 
-    /// \returns All nodes that are remembered, this one included.
+    /// \returns All known nodes, including this one and dead ones that have not
+    /// been evicted.
     std::vector<node_info> nodes() const;
 
-    /// \returns A node, this one included, or nothing when it is not known.
+    /// \returns The node with this id, which may be this node; absent if
+    /// unknown.
     std::optional<node_info> find(const node_id& id) const;
 
-    /// \returns Whether no other living node is known.
+    /// \returns Whether all other known nodes are dead, or none is known.
     bool is_alone() const { return this->table.present_count() == 0; }
 
     const node_info& own_info() const { return this->own.node; }
--- a/src/decisions/membership_command.hpp
+++ b/src/decisions/membership_command.hpp
@@ -15,25 +15,25 @@
     membership_packet packet;
 };
 
-/// Open a full exchange of views with a node.
+/// Start a full exchange of views with the node at this address.
 struct exchange_views_command
 {
     endpoint target;
 };
 
-/// The view has changed.
+/// Notify observers that the view of the region has changed.
 struct view_changed_command
 {
 };
 
-/// No answer is to be expected from this address any more.
+/// The node is dead: requests to its address will not be answered any more.
 struct node_dead_command
 {
     node_id node;
     endpoint peer;
 };
 
-/// What the membership wants done.
+/// An action that the caller of the membership executes.
 using membership_command =
     std::variant<send_packet_command, exchange_views_command,
                  view_changed_command, node_dead_command>;
--- a/src/decisions/membership_packet.cpp
+++ b/src/decisions/membership_packet.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-/// Field header and longest variable-length number.
+/// Field header and the longest variable-length integer.
 constexpr std::size_t number_bytes = 11;
-/// Field header and a port as variable-length number.
+/// Field header and a port as a variable-length integer.
 constexpr std::size_t port_bytes = 4;
 constexpr std::size_t flag_bytes = 2;
-/// Field header and length of a text or list.
+/// Field header and the length of a string or list.
 constexpr std::size_t length_bytes = 4;
 constexpr std::size_t end_bytes = 1;
 
--- a/src/decisions/membership_packet.hpp
+++ b/src/decisions/membership_packet.hpp
@@ -12,37 +12,37 @@
 namespace parsleytrack
 {
 
-/// What a datagram of the membership asks for.
+/// The purpose of a membership datagram.
 enum class membership_packet_kind
 {
-    /// Asks the subject to answer with an acknowledgement.
+    /// Asks the subject for an acknowledgement.
     probe,
-    /// The subject is alive.
+    /// Confirms that the subject is alive.
     acknowledgement,
-    /// Asks the receiver to probe the subject for the sender.
+    /// Asks the receiver to probe the subject on behalf of the sender.
     indirect_probe,
-    /// Carries news only.
+    /// Carries only member records and board values.
     gossip
 };
 
-/// One datagram of the membership.
+/// One datagram of the membership protocol.
 struct membership_packet
 {
     membership_packet_kind kind = membership_packet_kind::gossip;
-    /// Ties an acknowledgement to its probe.
+    /// Matches an acknowledgement to its probe.
     std::int64_t sequence = 0;
     region_name region;
     node_id sender;
-    /// The node that is probed or acknowledged.
+    /// The node that is probed, or that is confirmed alive.
     node_id subject;
-    /// Where an indirect probe finds the subject.
+    /// The subject's address, for an indirect probe.
     endpoint subject_address;
     std::vector<member_record> members;
     std::vector<board_item> items;
 };
 
-/// Upper bounds of the encoded sizes, in bytes; the encoder is above this
-/// package.
+/// Upper bounds of the encoded sizes in bytes. They are estimated here since
+/// this package may not depend on the encoder.
 std::size_t encoded_size_bound(const member_record& record);
 std::size_t encoded_size_bound(const board_item& item);
 std::size_t encoded_size_bound(const membership_packet& packet);
--- a/src/decisions/membership_receive.cpp
+++ b/src/decisions/membership_receive.cpp
@@ -1,4 +1,4 @@
-// The part of the membership that takes in what other nodes say.
+// Handles incoming packets and view exchanges of the membership.
 
 #include "decisions/membership.hpp"
 
@@ -17,8 +17,8 @@
 constexpr duration unknown_sender_exchange_interval =
     std::chrono::milliseconds(500);
 
-/// \returns Whether the sender of a packet has missed what a node last said
-/// about itself.
+/// \returns Whether the packet carries a record of this node with an older
+/// incarnation, so that its sender does not know the latest record.
 bool is_outdated(const membership_packet& packet, const member_record& own)
 {
     return std::any_of(packet.members.begin(), packet.members.end(),
@@ -76,8 +76,8 @@
     {
         return;
     }
-    // It knows this node but is not known here, or held dead: the views are
-    // joined at once instead of waiting for the next full exchange.
+    // The sender knows this node but is unknown or believed dead here. Views
+    // are exchanged at once instead of at the next periodic exchange.
     this->next_unknown_sender_exchange = now + unknown_sender_exchange_interval;
     this->commands.emplace_back(exchange_views_command{from});
 }
@@ -85,7 +85,7 @@
 void membership::handle_probe(const endpoint& from,
                               const membership_packet& packet)
 {
-    // Another process may have taken the address over.
+    // Another node may have used this address before.
     if (packet.subject != this->own.node.id)
     {
         return;
@@ -155,7 +155,7 @@
     this->updates.add(claim.node.id);
     if (claim.node.state == node_state::alive)
     {
-        // A new process holds none of this node's values.
+        // The node may have restarted and lost this node's board values.
         this->outbox.reset_peer(claim.node.id);
     }
     this->commands.emplace_back(view_changed_command{});
@@ -173,7 +173,8 @@
         this->board.republish_above(item.version);
         return;
     }
-    // Values of nodes that are not known would never be forgotten again.
+    // Values are evicted with their node, so those of an unknown node would
+    // be kept for ever.
     if (this->table.find(item.node) == nullptr)
     {
         return;
--- a/src/decisions/membership_send.cpp
+++ b/src/decisions/membership_send.cpp
@@ -1,4 +1,4 @@
-// The part of the membership that sends and chooses to whom.
+// Sends the packets of the membership and selects their receivers.
 
 #include "decisions/membership.hpp"
 
@@ -12,12 +12,12 @@
 namespace
 {
 
-/// IP and UDP headers, which count against the allowance as well.
+/// IP and UDP headers, which also count against the allowances.
 constexpr double datagram_header_bytes = 28;
-/// Nodes above which full exchanges become rarer.
+/// Number of nodes above which full exchanges become less frequent.
 constexpr std::size_t exchange_scale_nodes = 100;
-/// Nodes for which a seed is asked at the full rate; with twice as many each
-/// asks half as often.
+/// Number of nodes per additional join_interval between a node's contacts with
+/// seeds, so that the load on a seed stays bounded as the region grows.
 constexpr std::size_t join_scale_nodes = 30;
 
 duration jittered(duration span, random_source& random)
@@ -66,7 +66,7 @@
     while (this->board_allowance_bytes > 0)
     {
         auto peer = this->outbox.next_peer(peers, board_outbox::pass::first);
-        // Repetitions never take what the first sending may soon need.
+        // Half of the burst is reserved for values not sent at all yet.
         if (!peer && this->board_allowance_bytes > burst_bytes / 2)
         {
             peer = this->outbox.next_peer(peers, board_outbox::pass::second);
@@ -100,7 +100,8 @@
         now < this->join_end ? this->unknown_seeds() : std::vector<endpoint>();
     if (present == 0 || !unknown.empty())
     {
-        // Views grow with the group, and all nodes of it may ask one seed.
+        // The size of a view grows with the number of nodes, and all of them
+        // may contact the same seed.
         interval = this->options.join_interval *
                    static_cast<std::int64_t>(1 + present / join_scale_nodes);
     }
@@ -147,8 +148,8 @@
 
 std::optional<endpoint> membership::repair_target()
 {
-    // Addresses of nodes that are not in the view heal a cut after which both
-    // sides hold each other dead.
+    // After a partition both sides consider each other dead; contacting dead
+    // nodes and unknown seeds joins them again.
     std::vector<endpoint> candidates = this->unknown_seeds();
     for (const auto& [id, known] : this->table.all())
     {
@@ -176,7 +177,7 @@
         std::erase(chosen, except);
         return chosen;
     }
-    // A few draws that hit the same node twice only choose fewer.
+    // Repeated draws of the same node may leave fewer than count nodes.
     std::uniform_int_distribution<std::size_t> choice(0, candidates.size() - 1);
     for (std::size_t draw = 0; draw < 2 * count && chosen.size() < count;
          ++draw)
@@ -229,7 +230,8 @@
         known != nullptr && known->record.node.state != node_state::alive;
     if (not_alive)
     {
-        // It is told so, to refute it; news would be wasted on it.
+        // The receiver needs its own record to refute it. Other updates are
+        // left out since it may not be running.
         packet.members.push_back(known->record);
         used += encoded_size_bound(known->record);
     }
--- a/src/decisions/node_info.hpp
+++ b/src/decisions/node_info.hpp
@@ -8,7 +8,7 @@
 namespace parsleytrack
 {
 
-/// A node as the others know it.
+/// The published properties and the state of a node.
 struct node_info
 {
     node_id id;
@@ -18,12 +18,13 @@
     availability_zone_name availability_zone;
     bool entry = true;
     bool keeper = false;
-    /// What the node may spend, in thousandths of a core.
+    /// The CPU capacity that the node may use, in thousandths of a core.
     int capacity = 1000;
     node_state state = node_state::alive;
-    /// Grows with each suspicion that the node refutes.
+    /// Increases with each suspicion that the node refutes.
     incarnation_number incarnation;
-    /// The incarnation with which its process started; tells its lives apart.
+    /// The incarnation with which its process started; identifies the process
+    /// among all that have run under this id.
     incarnation_number start_incarnation;
 
     bool operator==(const node_info&) const = default;
--- a/src/decisions/node_state.hpp
+++ b/src/decisions/node_state.hpp
@@ -5,19 +5,18 @@
 namespace parsleytrack
 {
 
-/// What is believed of a node.
+/// The state of a node as another node believes it.
 enum class node_state
 {
     alive,
-    /// Has missed probes; may be dead or cut off.
+    /// Has not acknowledged probes; may be dead or unreachable.
     suspect,
-    /// Still serves, but will stop soon.
+    /// Has announced a planned stop but still serves.
     leaving,
     dead
 };
 
-/// \param state What is believed of a node.
-/// \returns The state as answers, logs and metrics name it.
+/// \returns The name of the state in responses, logs and metrics.
 constexpr std::string_view to_string(node_state state)
 {
     switch (state)
--- a/src/decisions/update_queue.hpp
+++ b/src/decisions/update_queue.hpp
@@ -10,29 +10,29 @@
 namespace parsleytrack
 {
 
-/// Changes of members that are still to be passed on, each a bounded number
-/// of times. What has been sent least often goes first, and the newest among
-/// those.
+/// Changes of member records that are still to be gossiped, each a limited
+/// number of times. Those sent least often go first; among equals, the newest.
 class update_queue
 {
 public:
-    /// \param known Where the records are looked up; outlives this object.
+    /// \param known The table that holds the records; outlives this object.
     explicit update_queue(const member_table& known);
 
-    /// A node's record has changed.
+    /// Queues the changed record of a node, replacing its earlier change.
     void add(const node_id& id);
 
-    /// Adds news to a packet.
+    /// Adds queued records to a packet and counts them as sent.
     ///
-    /// \param packet Takes the news.
-    /// \param own This node's own record, for news about itself.
+    /// \param packet Receives the records.
+    /// \param own This node's record, which the table does not hold.
     /// \param room Bytes left in the packet.
-    /// \param transmissions How often each piece is to be passed on.
+    /// \param transmissions How often each change is sent before it is removed
+    /// from the queue.
     /// \returns Bytes used.
     std::size_t fill(membership_packet& packet, const member_record& own,
                      std::size_t room, int transmissions);
 
-    /// \returns Whether there is nothing to pass on.
+    /// \returns Whether no change is queued.
     bool empty() const { return this->members.empty(); }
 
 private:
--- a/src/decisions/view_message.hpp
+++ b/src/decisions/view_message.hpp
@@ -10,15 +10,16 @@
 namespace parsleytrack
 {
 
-/// Either half of a full exchange of views between two nodes.
+/// The request or the response of a full exchange of views between two nodes.
 struct view_message
 {
     region_name region;
     node_id sender;
     std::vector<member_record> members;
-    /// In a request: what the sender holds of the board.
+    /// In a request: the board values that the sender holds.
     std::vector<board_version> known;
-    /// In an answer: what the other side does not hold yet.
+    /// In a response: board values that the requester lacks or holds in older
+    /// versions.
     std::vector<board_item> items;
 };
 
