--- a/tests/decisions/membership_test.cpp
+++ b/tests/decisions/membership_test.cpp
@@ -28,7 +28,7 @@
     time_point now;
 };
 
-TEST(member_table, records_join_in_any_order)
+TEST(member_table, the_order_of_merged_claims_does_not_matter)
 {
     random_source random(7);
     const std::vector<node_state> states{node_state::alive, node_state::suspect,
@@ -46,8 +46,8 @@
         std::vector<member_record> outcomes;
         for (int order = 0; order < 4; ++order)
         {
-            // A dead claim about an unknown node is not taken in, so the
-            // first one stays in place.
+            // The first claim stays first, since the table ignores a claim
+            // that an unknown node is dead.
             std::shuffle(claims.begin() + 1, claims.end(), random);
             member_table joined;
             for (const member_record& claim : claims)
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(member_table, a_leaving_node_stays_so_within_its_incarnation)
+TEST(member_table, a_node_stays_leaving_within_an_incarnation)
 {
     this->table.merge(make_record("a", 5, node_state::alive, true), this->now);
     CHECK(!this->table.merge(make_record("a", 5, node_state::alive, false),
@@ -74,7 +74,7 @@
     CHECK(!this->table.find(node_id("a"))->record.leaving);
 }
 
-TEST(member_table, a_forgotten_node_does_not_come_back_as_dead)
+TEST(member_table, an_evicted_node_is_not_added_again_as_dead)
 {
     using std::chrono::seconds;
     this->table.merge(make_record("a", 1, node_state::alive, false), this->now);
--- a/tests/membership/baseline_test.cpp
+++ b/tests/membership/baseline_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(membership_baseline){};
 
-TEST(membership_baseline, costs_less_than_heartbeats_and_errs_less)
+TEST(membership_baseline, needs_fewer_bytes_and_errs_less_than_heartbeats)
 {
     constexpr int count = 50;
     constexpr double loss = 0.1;
@@ -28,7 +28,8 @@
                          count / static_cast<double>(before.count());
     LONGS_EQUAL(0, world.false_deaths);
 
-    // The silence after which a baseline as quick as the suspicion acts.
+    // With this timeout the baseline detects failures as fast as the
+    // membership suspects them.
     const auto quick =
         heartbeat_baseline::run(11, count, loss, seconds(2), before);
     CHECK(quick.false_deaths > 0);
--- a/tests/membership/heartbeat_baseline.cpp
+++ b/tests/membership/heartbeat_baseline.cpp
@@ -10,7 +10,7 @@
                                                     duration dead_timeout,
                                                     duration time_before_kill)
 {
-    // A probe of the membership costs about as much.
+    // About the size of a probe of the membership.
     constexpr std::uint64_t heartbeat_bytes = 80;
     constexpr duration interval = std::chrono::milliseconds(500);
     constexpr int victim = 0;
--- a/tests/membership/joining_test.cpp
+++ b/tests/membership/joining_test.cpp
@@ -11,8 +11,8 @@
 {
 
 constexpr int node_count = 9;
-/// Callers notice when nodes go on with different views for longer: each view
-/// has a broker of its own that grants all slots.
+/// Each separate view has its own broker, which grants all slots; callers are
+/// affected when views differ for longer than this.
 constexpr duration convergence_limit = seconds(2);
 constexpr std::uint64_t seed_count = 60;
 
@@ -28,7 +28,7 @@
 
 TEST_GROUP(joining){};
 
-TEST(joining, nodes_that_start_at_once_know_one_another_soon)
+TEST(joining, nodes_started_together_soon_share_one_view)
 {
     for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
@@ -39,7 +39,7 @@
     }
 }
 
-TEST(joining, a_restart_of_all_with_a_seed_that_is_gone_ends_in_one_view)
+TEST(joining, a_full_restart_without_one_seed_soon_ends_in_one_view)
 {
     for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(joining, a_healed_cut_between_halves_is_forgotten_soon)
+TEST(joining, halves_share_one_view_soon_after_a_partition_heals)
 {
     for (std::uint64_t seed = 1; seed <= seed_count; ++seed)
     {
--- a/tests/membership/membership_world.cpp
+++ b/tests/membership/membership_world.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t datagram_header_bytes = 28;
 constexpr std::size_t max_deferred_actions = 500;
 constexpr std::uint16_t first_port = 1000;
-/// The wall clock's microseconds when a run begins.
+/// The wall clock in microseconds at the start of a simulation.
 constexpr std::int64_t first_clock_us = 1'000'000'000;
 
 std::uint64_t size_of(const view_message& view)
@@ -98,7 +98,7 @@
             const auto version = running->board.latest("gate").at(from).version;
             std::uint64_t& newest = running->newest_values[from];
             check_invariant(version > newest,
-                            "the version of a value never goes down");
+                            "the version of a value must increase");
             newest = version;
         });
     running->members.set_seeds({endpoint{"10.0.0.1", first_port + 1},
@@ -127,7 +127,8 @@
 {
     node_slot& slot = this->nodes[static_cast<std::size_t>(node)];
     slot.frozen = false;
-    // The harder order: the clock is looked at before the socket.
+    // The harder order: the node handles a tick before the packets that arrived
+    // while it was frozen.
     if (slot.running)
     {
         slot.running->members.tick(this->time);
@@ -266,7 +267,7 @@
         {
             const std::size_t size = encoded_size_bound(sent->packet);
             check_invariant(size <= this->options.packet_bytes,
-                            "a datagram fits its bound");
+                            "a datagram must not exceed packet_bytes");
             ++this->totals.datagrams;
             this->totals.datagram_bytes += size + datagram_header_bytes;
             const membership_packet packet = sent->packet;
@@ -333,11 +334,12 @@
         }
         const node_info& old = before->second;
         check_invariant(info.incarnation >= old.incarnation,
-                        "an incarnation in a view never goes down");
+                        "an incarnation in a view must not decrease");
         const bool back = old.state == node_state::leaving &&
                           info.state == node_state::alive &&
                           info.incarnation == old.incarnation;
-        check_invariant(!back, "a leaving node never becomes alive again");
+        check_invariant(!back, "a leaving node must not become alive "
+                               "again within its incarnation");
         const int subject = std::stoi(info.id.str().substr(6)) - 1000;
         if (old.state != info.state && this->is_running(subject))
         {
--- a/tests/membership/membership_world.hpp
+++ b/tests/membership/membership_world.hpp
@@ -17,8 +17,8 @@
 namespace parsleytrack
 {
 
-/// Many memberships of one region in virtual time, over a network that loses,
-/// delays and cuts.
+/// Simulates the membership of many nodes of one region in virtual time, over a
+/// network with packet loss, delays and partitions.
 class membership_world
 {
 public:
@@ -34,14 +34,15 @@
 
     /// Starts a node, or starts it again with a higher incarnation.
     ///
-    /// \param port Stands for its address; 0 keeps the one it had.
+    /// \param port Its port, which represents its address; 0 keeps the current
+    /// one.
     void start(int node, std::uint16_t port = 0);
     void kill(int node);
     void freeze(int node);
     void thaw(int node);
     void leave(int node);
 
-    /// Packets between nodes of different groups are lost.
+    /// Partitions the network: messages between different groups are lost.
     void partition(std::function<int(int)> grouping)
     {
         this->group_of = grouping;
@@ -52,15 +53,16 @@
     void publish(int node, const std::string& topic, std::size_t size);
 
     bool is_running(int node) const;
-    /// \returns What one node believes of another; dead when not known.
+    /// \returns The state in which one node sees another; dead if unknown.
     node_state belief(int observer, int subject) const;
-    /// \returns How many pairs of running nodes believe something wrong.
+    /// \returns For how many pairs of a running observer and another node the
+    /// observer believes a wrong state.
     int wrong_beliefs() const;
-    /// \returns Oldest value among those that running nodes hold of a topic
-    /// of each other; the largest duration where one is missing.
+    /// \returns The age of the oldest value of a topic that running nodes hold
+    /// of each other; the maximum duration if a value is missing.
     duration oldest_value_age(const std::string& topic) const;
 
-    /// \returns When the value that an observer holds was published.
+    /// \returns When the publisher published the value that the observer holds.
     time_point publish_time_of(int observer, int publisher,
                                const std::string& topic) const;
 
@@ -69,17 +71,18 @@
     random_source& random_numbers() { return this->random; }
 
     double loss = 0;
-    /// Error of the wall clock of nodes that are started from now on.
+    /// Offset of the wall clock of nodes that are started from now on.
     duration clock_error = duration::zero();
     duration delay = std::chrono::milliseconds(1);
     duration jitter = std::chrono::milliseconds(1);
     traffic totals;
-    /// Processor time in the state machines, and their calls.
+    /// Real time spent in calls to the state machines.
     std::chrono::nanoseconds call_time = std::chrono::nanoseconds::zero();
+    /// Number of calls to the state machines.
     std::uint64_t calls = 0;
-    /// Times that a node was held dead by another while it ran.
+    /// How often a node declared a running node dead.
     int false_deaths = 0;
-    /// Times that a node came to be suspected by another while it ran.
+    /// How often a node began to suspect a running node.
     int false_suspicions = 0;
 
 private:
@@ -121,7 +124,7 @@
     static node_id name_of(int node);
     void schedule(duration delay, std::function<void()> action);
     void tick(int node, std::int64_t generation);
-    /// Runs an action on a node, after a thaw when it is frozen.
+    /// Runs an action on a node, deferred until the thaw if it is frozen.
     void run_on_node(int node, std::int64_t generation,
                      std::function<void()> action);
     void transmit(int from, const endpoint& target, double chance_of_loss,
--- a/tests/membership/membership_world_view.cpp
+++ b/tests/membership/membership_world_view.cpp
@@ -1,4 +1,4 @@
-// What the nodes of the world believe.
+// Queries of what the simulated nodes believe.
 
 #include "membership/membership_world.hpp"
 
--- a/tests/membership/randomised_test.cpp
+++ b/tests/membership/randomised_test.cpp
@@ -23,7 +23,7 @@
 
 TEST_GROUP(membership_runs){};
 
-TEST(membership_runs, a_whole_region_started_at_once_finds_itself)
+TEST(membership_runs, all_nodes_of_a_region_started_together_find_each_other)
 {
     membership_world world(1, membership_options());
     start_all(world, 50);
@@ -32,7 +32,7 @@
     LONGS_EQUAL(0, world.false_deaths);
 }
 
-TEST(membership_runs, a_killed_node_is_suspected_everywhere_in_seconds)
+TEST(membership_runs, all_nodes_suspect_a_killed_node_within_seconds)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed)
     {
@@ -52,12 +52,12 @@
     }
 }
 
-TEST(membership_runs, a_node_frozen_past_its_suspicion_comes_back)
+TEST(membership_runs, a_node_frozen_past_the_suspicion_timeout_rejoins)
 {
     membership_world world(3, membership_options());
     start_all(world, 50);
     world.run_for(seconds(20));
-    // Frozen while an answer to one of its probes is due.
+    // The node is frozen while an acknowledgement to its probe is due.
     world.delay = milliseconds(450);
     world.run_for(seconds(2));
     world.freeze(7);
@@ -69,12 +69,12 @@
     world.thaw(7);
     world.run_for(seconds(10));
     LONGS_EQUAL(0, world.wrong_beliefs());
-    // It suspects none of the others for answers that it missed.
+    // It does not suspect others whose acknowledgements it missed.
     LONGS_EQUAL(0, world.false_suspicions);
     LONGS_EQUAL(0, world.false_deaths);
 }
 
-TEST(membership_runs, a_cut_that_outlasts_all_suspicions_heals)
+TEST(membership_runs, views_merge_after_a_partition_with_nodes_declared_dead)
 {
     membership_world world(4, membership_options());
     start_all(world, 60);
@@ -89,7 +89,7 @@
     LONGS_EQUAL(0, world.wrong_beliefs());
 }
 
-TEST(membership_runs, a_leaving_node_is_told_from_a_living_one)
+TEST(membership_runs, all_nodes_see_a_leaving_node_as_leaving)
 {
     membership_world world(5, membership_options());
     start_all(world, 50);
@@ -97,7 +97,8 @@
     world.leave(9);
     world.run_for(seconds(4));
     LONGS_EQUAL(0, world.wrong_beliefs());
-    // It is frozen, held dead, comes back, and still leaves.
+    // A leaving node that is declared dead while frozen is leaving again after
+    // it thaws.
     world.freeze(9);
     world.run_for(seconds(15));
     CHECK(world.belief(1, 9) == node_state::dead);
@@ -106,7 +107,7 @@
     LONGS_EQUAL(0, world.wrong_beliefs());
 }
 
-TEST(membership_runs, a_node_restarted_at_another_address_is_alive)
+TEST(membership_runs, a_node_restarted_at_another_address_is_seen_alive)
 {
     membership_world world(6, membership_options());
     start_all(world, 50);
@@ -118,7 +119,7 @@
     LONGS_EQUAL(0, world.false_deaths);
 }
 
-TEST(membership_runs, a_mass_restart_ends_in_one_view)
+TEST(membership_runs, a_restart_of_most_nodes_ends_in_one_view)
 {
     membership_world world(8, membership_options());
     start_all(world, 60);
@@ -142,7 +143,7 @@
     LONGS_EQUAL(0, world.wrong_beliefs());
 }
 
-TEST(membership_runs, random_faults_leave_no_lasting_error)
+TEST(membership_runs, views_are_correct_after_random_faults_end)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
@@ -199,7 +200,7 @@
     }
 }
 
-TEST(membership_runs, indirect_probes_keep_lost_packets_from_suspicion)
+TEST(membership_runs, indirect_probes_reduce_suspicions_from_packet_loss)
 {
     const auto suspicions = [](int indirect_probes)
     {
@@ -216,7 +217,7 @@
     CHECK(suspicions(3) * 5 < suspicions(0));
 }
 
-TEST(membership_runs, a_node_restarted_with_a_clock_behind_is_heard_again)
+TEST(membership_runs, values_after_a_restart_with_an_earlier_clock_are_accepted)
 {
     membership_world world(12, membership_options());
     start_all(world, 10);
