--- a/src/jobs/item_progress.hpp
+++ b/src/jobs/item_progress.hpp
@@ -8,7 +8,7 @@
 namespace parsleytrack::jobs
 {
 
-/// What has been received of an item's answer so far.
+/// The part of an item's response that has been received so far.
 struct item_progress
 {
     /// Number of the last event; 0 before the first.
--- a/src/jobs/job_codec.cpp
+++ b/src/jobs/job_codec.cpp
@@ -117,7 +117,7 @@
     {
         if (entry.item < 0 || entry.item >= read.item_count)
         {
-            return damaged("a job has an outcome of an unknown item");
+            return damaged("a job has an outcome for an unknown item");
         }
         state.outcomes.push_back(item_outcome{
             static_cast<std::size_t>(entry.item), entry.completed});
@@ -187,7 +187,7 @@
     }
     if (page.value().results.empty())
     {
-        return damaged("a record of a result has none");
+        return damaged("a result record contains no result");
     }
     return std::move(page.value().results.front());
 }
@@ -217,7 +217,7 @@
     {
         if (entry.item < 0 || entry.last_event < 0)
         {
-            return damaged("progress of an item has a negative number");
+            return damaged("item progress has a negative item or event number");
         }
         progress[static_cast<std::size_t>(entry.item)] =
             item_progress{entry.last_event, std::move(entry.output)};
--- a/src/jobs/job_codec.hpp
+++ b/src/jobs/job_codec.hpp
@@ -12,8 +12,8 @@
 namespace parsleytrack::jobs
 {
 
-/// Bytes of records as they stand in the platform's store and travel between
-/// nodes. Reading gives error_code::corrupt_data for what cannot be read.
+/// Encoding of records in the platform's store and in messages between nodes.
+/// The decode functions return error_code::corrupt_data for malformed bytes.
 std::string encode(const job_input& input);
 result<job_input> decode_input(std::string_view bytes);
 
@@ -26,9 +26,9 @@
 std::string encode(const job_page& page);
 result<job_page> decode_page(std::string_view bytes);
 
-/// A record of one result, as it stands in the store.
+/// Encodes one result as it is stored.
 ///
-/// \param item_count How many items its job has.
+/// \param item_count Number of items in the job.
 std::string encode_output(const job_result& output, std::size_t item_count);
 result<job_result> decode_output(std::string_view bytes);
 
--- a/src/jobs/job_commit.hpp
+++ b/src/jobs/job_commit.hpp
@@ -10,17 +10,17 @@
 namespace parsleytrack::jobs
 {
 
-/// Outcomes that are to be written together.
+/// Outcomes to write in one transaction.
 struct job_commit
 {
     /// The state with the new outcomes.
     job_state state;
-    /// The revision that the state must still have.
+    /// Revision that the stored state must still have.
     store_revision expected_revision;
     /// Position of the first new result.
     std::size_t first_position = 0;
     std::vector<job_result> results;
-    /// Tokens that the route's usage no longer counts after this commit.
+    /// Tokens that this commit subtracts from the route's usage.
     token_count released_tokens;
 };
 
--- a/src/jobs/job_input.hpp
+++ b/src/jobs/job_input.hpp
@@ -10,14 +10,14 @@
 namespace parsleytrack::jobs
 {
 
-/// What was submitted; never changes.
+/// A job as submitted; never changes.
 struct job_input
 {
     job_id id;
     std::string route_name;
     std::string host;
     std::vector<job_item> items;
-    /// Unix milliseconds of the submission that was accepted.
+    /// Time of the accepted submission, in Unix milliseconds.
     std::int64_t submitted_at_ms = 0;
 };
 
--- a/src/jobs/job_item.hpp
+++ b/src/jobs/job_item.hpp
@@ -13,11 +13,11 @@
 struct job_item
 {
     std::string id;
-    /// Path and query at the replica.
+    /// Path and query of the request to the replica.
     std::string target;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
-    /// Tokens of its prompt and of the longest answer.
+    /// Tokens of the prompt plus those of the longest possible response.
     token_count tokens;
 };
 
--- a/src/jobs/job_page.hpp
+++ b/src/jobs/job_page.hpp
@@ -7,10 +7,10 @@
 namespace parsleytrack::jobs
 {
 
-/// Results larger than this are read in several answers; the callers' bound.
+/// Callers accept pages up to this size; more results take several pages.
 constexpr std::size_t max_page_bytes = 1'000'000;
 
-/// One result as callers read it.
+/// A result as returned to callers.
 struct job_result
 {
     std::string item;
@@ -18,10 +18,10 @@
     std::string output;
 };
 
-/// Some of a job's results, from a position onward.
+/// Consecutive results of a job, starting at a position.
 struct job_page
 {
-    /// Items of the job.
+    /// Number of items in the job.
     std::size_t total = 0;
     std::vector<job_result> results;
 };
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -11,31 +11,31 @@
 namespace parsleytrack::jobs
 {
 
-/// How an item has ended.
+/// How an item ended.
 struct item_outcome
 {
     std::size_t item = 0;
-    /// Whether there is an output; otherwise the item was given up.
+    /// Whether there is an output; otherwise the item was abandoned.
     bool completed = false;
 
     bool operator==(const item_outcome&) const = default;
 };
 
-/// The agreed state of a batch job, as it stands in the platform's store. An
+/// The committed state of a batch job, as stored in the platform's store. An
 /// item ends with the commit that adds its outcome.
 struct job_state
 {
     job_id id;
     std::string route_name;
     node_id owner;
-    /// Which life of the owner; see node_info::start_incarnation.
+    /// Incarnation of the owner; see node_info::start_incarnation.
     incarnation_number owner_incarnation;
     bool cancelled = false;
-    /// In the order in which results are read; only ever grows at its end.
+    /// In the order in which results are read; append-only.
     std::vector<item_outcome> outcomes;
     std::int64_t submitted_at_ms = 0;
     std::size_t item_count = 0;
-    /// Tokens that the route's usage counts for this job; at least those of
+    /// Tokens that the route's usage includes for this job; at least those of
     /// the items that have no outcome.
     token_count waiting_tokens;
 
--- a/src/jobs/owned_job.cpp
+++ b/src/jobs/owned_job.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// Bounds the size of one transaction and of the state's next value; the
-/// store takes 32 entries a transaction, two of which are the state and the
-/// usage record.
+/// Limits the size of one transaction and of the state that it writes. The
+/// store accepts 32 entries per transaction, two of which are the state and
+/// the usage record.
 constexpr std::size_t max_results_per_commit = 24;
 
 } // namespace
@@ -27,7 +27,7 @@
 {
     check_invariant(this->committed_outputs.size() ==
                         this->committed.outcomes.size(),
-                    "each agreed outcome has its output");
+                    "each committed outcome has an output");
     std::vector<bool> has_outcome(this->submitted.items.size(), false);
     for (const item_outcome& outcome : this->committed.outcomes)
     {
@@ -173,7 +173,7 @@
 void owned_job::set_committed(job_state state, store_revision revision)
 {
     check_invariant(state.outcomes.size() == this->committed.outcomes.size(),
-                    "another node's change keeps the outcomes");
+                    "another node's change must keep the outcomes");
     this->committed = std::move(state);
     this->committed_revision = revision;
 }
--- a/src/jobs/owned_job.hpp
+++ b/src/jobs/owned_job.hpp
@@ -15,16 +15,16 @@
 namespace parsleytrack::jobs
 {
 
-/// A job as its owner runs it: which items wait, run or have ended, and what
-/// of it has been committed. Callers only read what has been committed, so that
-/// a result never changes its place.
+/// A job as its owner runs it: which items wait, run or have ended, and which
+/// outcomes are committed. Callers read committed results only, so that the
+/// position of a result never changes.
 class owned_job
 {
 public:
-    /// \param submitted What was submitted.
-    /// \param committed The state as it was read or written.
+    /// \param submitted The job as submitted.
+    /// \param committed The state as last read from or written to the store.
     /// \param revision The state's revision.
-    /// \param outputs Outputs of the agreed outcomes, in their order.
+    /// \param outputs Outputs of the committed outcomes, in the same order.
     owned_job(job_input submitted, job_state committed, store_revision revision,
               std::vector<std::string> outputs);
 
@@ -32,57 +32,63 @@
     const job_state& state() const { return this->committed; }
     store_revision revision() const { return this->committed_revision; }
 
-    /// \returns The next item to run; it counts as running from then on.
+    /// Marks the next waiting item as running.
+    ///
+    /// \returns The item; absent if none waits or the job is cancelled.
     std::optional<std::size_t> start_next_item();
 
-    /// \returns Whether an item waits to be run.
+    /// \returns Whether an item is waiting to run.
     bool has_waiting_item() const { return !this->waiting.empty(); }
 
-    /// The run ended without an outcome and is to be repeated.
+    /// Requeues an item whose run ended without an outcome; it runs next.
     void return_item(std::size_t item);
 
-    /// A replica has failed the item.
+    /// Records that a replica failed the item.
     ///
-    /// \param max_failures Failures after which the item is given up.
-    /// \returns Whether it was given up.
+    /// \param max_failures Failures after which the item is abandoned.
+    /// \returns Whether it was abandoned.
     bool fail_item(std::size_t item, int max_failures);
 
-    /// The item has its whole output.
+    /// Ends an item with its complete output.
     void complete_item(std::size_t item, std::string output);
 
-    /// The item ends without an output.
+    /// Ends an item without an output.
     void abandon_item(std::size_t item);
 
-    /// Gives up all items that do not run and have no outcome.
+    /// Abandons all items that are waiting to run.
     void abandon_waiting_items();
 
-    /// \returns Whether outcomes wait to be written.
+    /// \returns Whether outcomes are waiting to be committed.
     bool has_uncommitted() const { return !this->uncommitted.empty(); }
 
-    /// \returns Whether one of them ended without an output. It is to be
-    /// written at once, since another owner would send it to replicas again.
+    /// \returns Whether an outcome without an output is waiting to be
+    /// committed. It must be committed at once, since another owner would send
+    /// the item to replicas again.
     bool has_uncommitted_failure() const;
 
-    /// \param release Whether the tokens of ended items are to be taken off the
-    /// route's usage; always so with the last outcome.
-    /// \returns What is to be written next; absent when there is nothing, or
-    /// another commit is under way.
+    /// Moves waiting outcomes into a commit.
+    ///
+    /// \param release Whether to subtract the tokens of ended items from the
+    /// route's usage; always done with the last outcome.
+    /// \returns The commit to write; absent if there is nothing to commit,
+    /// another commit is in progress or the job is cancelled.
     std::optional<job_commit> begin_commit(bool release);
 
-    /// \returns Whether a commit is under way.
+    /// \returns Whether a commit is in progress.
     bool is_committing() const { return this->committing; }
 
-    /// The commit was applied.
+    /// Makes the state of an applied commit the committed state.
     void commit_applied(const job_commit& commit, store_revision revision);
 
-    /// The commit was not applied; its outcomes wait for the next one.
+    /// Returns the outcomes of a commit that was not applied to the queue.
     void commit_failed(const job_commit& commit);
 
-    /// Takes in the state as another node has written it.
+    /// Replaces the state with the one that another node has written.
     void set_committed(job_state state, store_revision revision);
 
     /// \param after Position of the first result.
-    /// \param max_bytes Bound of the outputs; one result is always given.
+    /// \param max_bytes Limit on the total size of the outputs; the first
+    /// result is returned whatever its size.
     job_page page(std::size_t after, std::size_t max_bytes) const;
 
 private:
--- a/src/jobs/page_builder.hpp
+++ b/src/jobs/page_builder.hpp
@@ -8,19 +8,19 @@
 namespace parsleytrack::jobs
 {
 
-/// Fills a page with results up to a bound. One result always fits, however
-/// large it is.
+/// Fills a page with results up to a size limit. The first result always fits,
+/// whatever its size.
 class page_builder
 {
 public:
-    /// \param total How many items the job has.
-    /// \param max_bytes Bound of the outputs together.
+    /// \param total Number of items in the job.
+    /// \param max_bytes Limit on the total size of the outputs.
     page_builder(std::size_t total, std::size_t max_bytes) : limit(max_bytes)
     {
         this->page.total = total;
     }
 
-    /// \returns Whether the result was added; when not, the page is full.
+    /// \returns Whether the result was added; if not, the page is full.
     bool add(job_result result)
     {
         this->bytes += result.output.size();
--- a/tests/jobs/owned_job_test.cpp
+++ b/tests/jobs/owned_job_test.cpp
@@ -148,8 +148,9 @@
     CHECK_EQUAL(0, this->job.page(4, 200).results.size());
 }
 
-// Random ends of items and commits against the plain rule: each item gets one
-// outcome, and a position never changes once it was read.
+// Guards against lost, repeated or moved results: whatever the order of item
+// ends and of applied or failed commits, each item gets exactly one outcome and
+// a result that was read keeps its position.
 TEST(owned_job, random_runs_keep_positions_and_end_each_item_once)
 {
     for (unsigned seed = 1; seed <= 200; ++seed)
@@ -256,7 +257,7 @@
     std::string bytes = encode(make_input(3));
     for (std::size_t length = 0; length + 1 < bytes.size(); ++length)
     {
-        // Must not crash; a prefix may be readable only by luck.
+        // Must not crash; a prefix may happen to be valid.
         (void)decode_input(std::string_view(bytes).substr(0, length));
     }
 }
