--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// A replica that gives no sign for so long is held to be silent. Longer than
-/// for online requests, since nobody waits and prompts are read again after a
-/// preemption.
+/// A replica that sends nothing for this long is considered unresponsive.
+/// Longer than for online requests, since no caller waits and prompts are
+/// processed again after a preemption.
 constexpr duration unresponsive_timeout = std::chrono::milliseconds(1500);
 constexpr int status_ok = 200;
 constexpr int status_impossible = 422;
@@ -106,7 +106,7 @@
     for (const stream_event& event :
          this->splitter.feed_new(chunk, this->progress.last_event))
     {
-        // Comments add nothing.
+        // Comments of the event stream carry no data.
         if (!event.number)
         {
             continue;
@@ -119,7 +119,7 @@
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->abort("an event has no end");
+        this->attempt->abort("an event exceeds the size limit");
     }
 }
 
@@ -149,7 +149,7 @@
 
 void item_run::finish(item_run_result end, const std::string& reason)
 {
-    // The exchange may be the one whose callback runs.
+    // This may be called from a callback of the exchange.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     const auto callback = std::move(this->ended_callback);
--- a/src/relay/item_run.hpp
+++ b/src/relay/item_run.hpp
@@ -16,20 +16,20 @@
 namespace parsleytrack::relay
 {
 
-/// How one run of an item has ended.
+/// How a run of an item ended.
 enum class item_run_result
 {
     completed,
-    /// A replica has failed it.
+    /// The replica responded with an error.
     failed,
-    /// No replica can ever do it.
+    /// No replica can process the item.
     impossible,
-    /// To be gone on with from the progress.
+    /// To be resumed from the saved progress.
     interrupted
 };
 
-/// One run of an item at one replica, from ordering a slot to the end of the
-/// answer. Destroying it ends the run.
+/// One run of an item on one replica, from the slot request to the end of the
+/// response. Destroying it aborts the run.
 class item_run
 {
 public:
@@ -38,19 +38,19 @@
 
     /// \param node Outlives this object.
     /// \param slot_source Outlives this object.
-    /// \param run_item What is to be run; outlives this object.
-    /// \param host Host that the request is for.
-    /// \param progress Goes on from there, and adds to it; outlives this
-    /// object.
+    /// \param run_item The item to run; outlives this object.
+    /// \param host Value of the request's Host header.
+    /// \param progress Progress to resume from, extended by this run; outlives
+    /// this object.
     /// \param on_end Called once, never from the constructor; may destroy this
     /// object.
     item_run(const relay_context& node, slot_client& slot_source,
              const jobs::job_item& run_item, std::string host,
              jobs::item_progress& progress, end_callback on_end);
 
-    /// \param service Where the item may run.
-    /// \param priority Rank among all work of the service.
-    /// \param due_in How long until the result is due.
+    /// \param service Service whose replicas may run the item.
+    /// \param priority Priority among all work of the service.
+    /// \param due_in Time until the result is due.
     void start(const service_name& service, int priority, duration due_in);
 
 private:
--- a/src/relay/job_acceptor.cpp
+++ b/src/relay/job_acceptor.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// Other nodes change the same usage record; each conflict brings its newest
-/// value along.
+/// Other nodes change the same usage record; the outcome of a conflict holds
+/// its newest value.
 constexpr int max_conflicts = 20;
 constexpr duration retry_after_over_limit = std::chrono::seconds(2);
 constexpr duration retry_after_outage = std::chrono::milliseconds(500);
@@ -38,7 +38,7 @@
     token_count waiting;
     time_point deadline;
     int conflicts = 0;
-    /// Whether the usage that is known was just read.
+    /// Whether the known usage was just read from the store.
     bool usage_is_fresh = false;
     accept_callback callback;
 };
@@ -139,9 +139,10 @@
     if (entry->conflicts > max_conflicts ||
         net::event_loop::now() >= entry->deadline)
     {
-        entry->callback(error{error_code::store_unavailable,
-                              "too many changes of the waiting tokens at once",
-                              ran_state::no, retry_after_outage});
+        entry->callback(
+            error{error_code::store_unavailable,
+                  "too many concurrent changes of the waiting tokens",
+                  ran_state::no, retry_after_outage});
         return;
     }
     this->write(entry);
@@ -171,7 +172,7 @@
 void job_acceptor::reject_over_limit(const std::shared_ptr<submission>& entry,
                                      token_count waiting)
 {
-    // A submission that was accepted before is not refused.
+    // A job that was accepted before is not rejected.
     this->context.store.get(
         job_state_key(entry->state.id), key_value::read_freshness::latest,
         [entry, waiting](const result<key_value::stored_record>& record)
--- a/src/relay/job_acceptor.hpp
+++ b/src/relay/job_acceptor.hpp
@@ -17,12 +17,12 @@
 {
     jobs::job_state state;
     store_revision revision;
-    /// Whether an earlier submission had been accepted already.
+    /// Whether an earlier submission of the job was accepted.
     bool already_accepted = false;
 };
 
-/// Accepts submissions: writes the job's records and the tokens that it adds
-/// to its route in one transaction.
+/// Accepts submissions: writes the job's records and adds its tokens to the
+/// route's usage, in one transaction.
 class job_acceptor
 {
 public:
@@ -32,12 +32,12 @@
     /// \param usages Outlives this object.
     job_acceptor(const relay_context& node, usage_tracker& usages);
 
-    /// Accepts a job, or finds that it has been accepted before.
+    /// Accepts a job, or finds that it was accepted before.
     ///
-    /// \param input What was submitted.
-    /// \param owner The node that is to run the job.
+    /// \param input The job as submitted.
+    /// \param owner The node that will run the job.
     /// \param limit Tokens that may wait on the route; 0 for "no limit".
-    /// \param timeout How long the store may take.
+    /// \param timeout How long to try to write to the store.
     void accept(std::shared_ptr<const jobs::job_input> input,
                 const node_info& owner, token_count limit, duration timeout,
                 accept_callback callback);
--- a/src/relay/job_call.hpp
+++ b/src/relay/job_call.hpp
@@ -8,7 +8,7 @@
 namespace parsleytrack::relay
 {
 
-/// A caller's call about a job that was accepted before.
+/// A caller's request about a job that was accepted before.
 struct job_call
 {
     enum class operation
@@ -20,9 +20,9 @@
 
     operation requested = operation::read_results;
     job_id job;
-    /// read_results: the first position that is wanted.
+    /// read_results: position of the first result to return.
     std::size_t after = 0;
-    /// read_item_body: which item.
+    /// read_item_body: ID of the item.
     std::string item;
 };
 
--- a/src/relay/job_cancellation.cpp
+++ b/src/relay/job_cancellation.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// The owner commits results meanwhile; each conflict is followed by a new
-/// read.
+/// The owner may commit results at the same time; after each conflict the state
+/// is read again.
 constexpr int max_attempts = 12;
 constexpr duration commit_timeout = std::chrono::seconds(3);
 constexpr duration retry_after = std::chrono::milliseconds(300);
@@ -102,8 +102,8 @@
             if (attempt >= max_attempts)
             {
                 callback(error{error_code::store_unavailable,
-                               "the job changes too often", ran_state::no,
-                               retry_after});
+                               "too many concurrent changes of the job",
+                               ran_state::no, retry_after});
                 return;
             }
             this->read(state.id, attempt + 1, callback);
--- a/src/relay/job_cancellation.hpp
+++ b/src/relay/job_cancellation.hpp
@@ -11,12 +11,12 @@
 namespace parsleytrack::relay
 {
 
-/// Ends jobs: marks the record as cancelled and takes the tokens that still
-/// wait off the route, in one transaction.
+/// Cancels jobs: marks the record as cancelled and subtracts the job's waiting
+/// tokens from the route's usage, in one transaction.
 class job_cancellation
 {
 public:
-    /// Gets the state with the mark, or why it could not be set.
+    /// Gets the state of the ended job, or why it could not be cancelled.
     using end_callback = std::function<void(result<jobs::job_state>)>;
 
     /// \param node Outlives this object.
--- a/src/relay/job_cleaner.cpp
+++ b/src/relay/job_cleaner.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-/// The store takes 32 entries a transaction.
+/// The store accepts 32 entries per transaction.
 constexpr std::size_t max_erased_per_commit = 32;
-/// Jobs that are erased at the same time, so that it never crowds the store.
+/// Limits the load on the store.
 constexpr std::size_t max_concurrent_erasures = 2;
 constexpr duration commit_timeout = std::chrono::seconds(5);
 
@@ -106,8 +106,9 @@
             }
             log_event(log_level::info, "job_erasure_put_off",
                       {{"job", job.str()},
-                       {"reason", outcome.has_error() ? outcome.error().message
-                                                      : "it has changed"}});
+                       {"reason", outcome.has_error()
+                                      ? outcome.error().message
+                                      : "the job's record has changed"}});
             this->erasing.erase(job);
         });
 }
--- a/src/relay/job_cleaner.hpp
+++ b/src/relay/job_cleaner.hpp
@@ -11,17 +11,17 @@
 namespace parsleytrack::relay
 {
 
-/// Erases the records of jobs whose results need not be kept any longer.
+/// Erases the records of jobs whose results have been kept long enough.
 class job_cleaner
 {
 public:
     /// \param node Outlives this object.
     explicit job_cleaner(const relay_context& node);
 
-    /// Looks at a finished job, and erases it if it is old enough and falls to
-    /// this node.
+    /// Erases a finished job if it has been kept long enough and this node is
+    /// its preferred owner.
     ///
-    /// \param revision The revision of the job's state.
+    /// \param revision Revision of the job's state.
     void erase_if_expired(const jobs::job_state& state,
                           store_revision revision);
 
--- a/src/relay/job_owner.cpp
+++ b/src/relay/job_owner.cpp
@@ -16,18 +16,18 @@
 namespace
 {
 
-/// Items of one job that hold or wait for a slot at the same time; bounds the
+/// Items of one job that hold or wait for a slot at the same time; limits the
 /// messages to the broker for large jobs.
 constexpr std::size_t max_runs = 32;
-/// Outcomes are collected for so long before they are written, to spare calls
-/// to the store; what a node that dies has not written is run again.
+/// Outcomes are collected for this long before they are committed, to reduce
+/// calls to the store; items that a failed node did not commit run again.
 constexpr duration commit_interval = std::chrono::milliseconds(1500);
-/// Shortly before the job is due each outcome is written at once.
+/// This close to the job's due time each outcome is committed at once.
 constexpr duration urgent_before_due = std::chrono::seconds(4);
-/// Lost answers of a commit are followed up for so long before the outcomes
-/// are written by a new transaction.
+/// How long to look up the outcome of a commit whose response was lost, before
+/// its results are written by a new transaction.
 constexpr duration commit_timeout = std::chrono::seconds(10);
-/// Keeps an item that finds no usable replica from asking without a break.
+/// Keeps an item without a usable replica from requesting slots in a busy loop.
 constexpr duration interruption_pause = std::chrono::milliseconds(30);
 constexpr duration retry_pause = std::chrono::milliseconds(300);
 
@@ -123,7 +123,7 @@
 void job_owner::handle_item_end(std::size_t item, item_run_result end,
                                 const std::string& reason, int max_failures)
 {
-    // The run is the one whose callback this is.
+    // The run is freed later, since this is one of its callbacks.
     const auto run = this->runs.find(item);
     if (run != this->runs.end())
     {
@@ -251,7 +251,7 @@
 
 void job_owner::save_progress()
 {
-    // A commit under way carries it, and changes the revision.
+    // A commit in progress includes it, and changes the revision.
     if (!this->owned.is_committing() && !this->owned.state().is_finished())
     {
         this->progress.save(this->context.store, this->owned.revision());
@@ -265,8 +265,8 @@
         table ? table->find_by_name(this->owned.input().route_name) : nullptr;
     const token_count limit =
         route == nullptr ? token_count(0) : route->waiting_tokens_limit;
-    // Far below the limit the tokens are taken off once, with the last item,
-    // so that jobs seldom change the same record.
+    // Up to half of the limit the tokens are released once, with the last item,
+    // so that jobs rarely write to the same record.
     return limit > token_count(0) && waiting + waiting > limit;
 }
 
@@ -324,7 +324,7 @@
             state.value().owner_incarnation == commit.state.owner_incarnation &&
             state.value().outcomes == commit.state.outcomes)
         {
-            // Its answer was lost.
+            // The commit was applied, but its response was lost.
             this->owned.commit_applied(commit, record.revision);
             this->readers.answer_ready();
             if (state.value().cancelled)
--- a/src/relay/job_owner.hpp
+++ b/src/relay/job_owner.hpp
@@ -23,10 +23,9 @@
     /// \param node Outlives this object.
     /// \param slot_source Outlives this object.
     /// \param usages Outlives this object.
-    /// \param owned The job.
-    /// \param known What an earlier owner has received of its items.
-    /// \param on_lost Called when another node has taken the job over; may
-    /// destroy this object after the callback has returned.
+    /// \param known Progress of the items that an earlier owner has saved.
+    /// \param on_lost Called when another node has taken the job over. This
+    /// object may be destroyed once the callback has returned, not earlier.
     job_owner(const relay_context& node, slot_client& slot_source,
               usage_tracker& usages, jobs::owned_job owned,
               jobs::job_progress known, std::function<void()> on_lost);
@@ -34,20 +33,21 @@
     job_owner(const job_owner&) = delete;
     job_owner& operator=(const job_owner&) = delete;
 
-    /// Starts items for which nothing runs yet; to be called now and then.
+    /// Starts waiting items, saves progress when due, and abandons the job when
+    /// it has expired or its route was removed. To be called periodically.
     void start_items();
 
-    /// Ends all runs, for a planned stop. What they have received is kept for
-    /// the next owner.
+    /// Aborts all runs for a planned stop. Their progress is saved for the next
+    /// owner.
     void stop();
 
-    /// Takes in the job's record as another node has written it.
+    /// Applies the job's record if another node has written a newer one.
     void apply_record(const key_value::stored_record& record);
 
     /// Reads results.
     ///
     /// \param after Position of the first result.
-    /// \param wait How long to wait for one when there is none.
+    /// \param wait How long to wait if there is no result yet.
     void read(std::size_t after, duration wait,
               result_readers::page_callback callback)
     {
@@ -82,14 +82,14 @@
     progress_tracker progress;
     result_readers readers;
     std::map<std::size_t, std::unique_ptr<item_run>> runs;
-    /// How long after its submission the job is due, by the newest route.
+    /// Time from submission until the job is due, from the newest route seen.
     duration run_target = duration::zero();
     bool commit_is_scheduled = false;
     net::timer commit_timer;
     net::timer retry_timer;
     net::timer start_timer;
     bool stopped = false;
-    /// Outlives this object in callbacks of the store.
+    /// Shared with callbacks of the store, which may outlive this object.
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/relay/job_peers.cpp
+++ b/src/relay/job_peers.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// Nodes of a region answer within milliseconds; what is lost is found by the
-/// next look at the records.
+/// Nodes of a region respond within milliseconds; after a lost call, the owner
+/// finds the change in its next scan of the records.
 constexpr duration call_timeout = std::chrono::seconds(1);
 
 } // namespace
@@ -77,7 +77,7 @@
          {
              if (outcome.has_error())
              {
-                 // The owner's next look at the records finds it.
+                 // The owner's next scan of the records finds the change.
                  log_event(log_level::info, failure_event,
                            {{"job", job.str()},
                             {"owner", name.str()},
@@ -105,7 +105,7 @@
         state.value().owner_incarnation != own.start_incarnation)
     {
         exchange->fail(error{error_code::bad_request,
-                             "this node cannot take the job",
+                             "this node cannot accept the job",
                              ran_state::no,
                              {}});
         return;
--- a/src/relay/job_peers.hpp
+++ b/src/relay/job_peers.hpp
@@ -14,8 +14,8 @@
 namespace parsleytrack::relay
 {
 
-/// Calls between nodes about batch jobs: hands a job to the node that is to
-/// run it, tells it of changes, and answers the same calls of others.
+/// Calls between nodes about batch jobs: hands a job over to its owner,
+/// notifies the owner of changes, and handles the same calls from other nodes.
 class job_peers
 {
 public:
@@ -23,7 +23,7 @@
     {
         /// \returns The owner of a job that this node runs, otherwise null.
         std::function<job_owner*(const job_id&)> find;
-        /// \returns Whether this node takes jobs over.
+        /// \returns Whether this node accepts jobs from other nodes.
         std::function<bool()> accepts_jobs;
         /// A job was handed to this node.
         std::function<void(jobs::owned_job)> on_handed_over;
@@ -34,10 +34,10 @@
     /// \param node Outlives this object.
     job_peers(const relay_context& node, callbacks listener);
 
-    /// Hands a job to the owner that its state names.
+    /// Hands a job over to the owner named in its state.
     void hand_over(const jobs::job_input& input, const accepted_job& accepted);
 
-    /// Tells the owner that a job's record has changed.
+    /// Notifies the owner that a job's record has changed.
     void notify_owner(const jobs::job_state& state);
 
 private:
--- a/src/relay/job_placement.hpp
+++ b/src/relay/job_placement.hpp
@@ -10,18 +10,15 @@
 namespace parsleytrack::relay
 {
 
-/// \param group The nodes.
-/// \param job A job.
-/// \returns The living node that is to run the job as long as no other one
-/// does. All nodes with the same view agree on it.
+/// \returns The live node that is to run a job that no other node runs; the
+/// same on all nodes that have the same view of the group.
 const node_info& preferred_owner(const peering::peer_group& group,
                                  const job_id& job);
 
-/// \param owner What is known of the node that a job's record names; absent
-/// when it is dead or was never heard of.
-/// \param state The job.
-/// \returns Whether another node is to take the job over: the owner is gone,
-/// is about to stop, or has started anew without the job.
+/// \param owner The node that the job's record names; absent if it is dead or
+/// unknown.
+/// \returns Whether another node is to take the job over, since the owner is
+/// gone, is about to stop, or has lost the job by a restart.
 bool is_owner_gone(const std::optional<node_info>& owner,
                    const jobs::job_state& state);
 
--- a/src/relay/job_reader.cpp
+++ b/src/relay/job_reader.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Beyond the time that the owner may wait.
+/// Time for the call in addition to the time that the owner may wait.
 constexpr duration owner_margin = std::chrono::milliseconds(400);
 constexpr duration retry_after = std::chrono::milliseconds(500);
 constexpr std::size_t max_known_owners = 4096;
@@ -30,8 +30,10 @@
 
 error item_not_found()
 {
-    return error{
-        error_code::not_found, "there is no such item", ran_state::no, {}};
+    return error{error_code::not_found,
+                 "the job or item does not exist",
+                 ran_state::no,
+                 {}};
 }
 
 /// \param bytes The record of a job's input.
@@ -115,7 +117,7 @@
                   {"reason", response.has_error() ? response.error().message
                                                   : "unreadable"}});
              this->owners.erase(request->job);
-             // The time to wait is used up.
+             // The wait time is used up.
              request->wait = duration::zero();
              this->read_state(request);
          }});
--- a/src/relay/job_reader.hpp
+++ b/src/relay/job_reader.hpp
@@ -15,25 +15,25 @@
 namespace parsleytrack::relay
 {
 
-/// Reads jobs that other nodes own: from the owner, or from the store when the
-/// owner does not answer.
+/// Reads jobs that other nodes own: from the owner, or from the store if the
+/// owner does not respond.
 class job_reader
 {
 public:
-    /// Gets a page; error_code::not_found when there is no such job, and
-    /// error_code::store_unavailable when that is not known.
+    /// Gets a page; error_code::not_found if the job does not exist, and
+    /// error_code::store_unavailable if it could not be read.
     using page_callback = std::function<void(result<jobs::job_page>)>;
 
     /// \param node Outlives this object.
     explicit job_reader(const relay_context& node);
 
-    /// Reads results from a position onward.
+    /// Reads results starting at a position.
     ///
-    /// \param wait How long the owner may wait for one.
+    /// \param wait How long the owner may wait for a result.
     void read(const job_id& job, std::size_t after, duration wait,
               page_callback callback);
 
-    /// Gets the body; error_code::not_found when there is no such item.
+    /// Gets the body; error_code::not_found if the job or item does not exist.
     using body_callback = std::function<void(result<std::string>)>;
 
     /// Reads the body of an item as it was submitted.
@@ -41,14 +41,14 @@
                    body_callback callback);
 
 private:
-    /// One read until it is answered.
+    /// A read that is in progress.
     struct read_request
     {
         job_id job;
         std::size_t after = 0;
         duration wait = duration::zero();
         page_callback callback;
-        /// Nodes that did not have the job.
+        /// Nodes to which the read was sent; none is tried twice.
         std::set<node_id> queried_nodes;
     };
     using shared_request = std::shared_ptr<read_request>;
@@ -62,7 +62,8 @@
                    key_value::read_freshness freshness, body_callback callback);
 
     const relay_context& context;
-    /// Owners that the store has named, where they are not the preferred ones.
+    /// Owners found in the store, for jobs whose owner is not the preferred
+    /// one.
     std::map<job_id, node_id> owners;
     std::map<std::uint64_t, std::unique_ptr<wire::peer_call>> calls;
     std::uint64_t next_number = 1;
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -19,11 +19,11 @@
 
 constexpr int status_ok = 200;
 constexpr int status_accepted = 202;
-/// The caller's own limit is not told with a submission; it asks again after
-/// a few seconds.
+/// A submission does not state the caller's timeout; the caller retries after a
+/// few seconds.
 constexpr duration accept_timeout = std::chrono::milliseconds(3500);
 constexpr duration max_wait = std::chrono::milliseconds(1000);
-/// Retries of commits, deadlines of items, and drops of finished jobs.
+/// For retrying commits, checking deadlines and evicting finished jobs.
 constexpr duration periodic_interval = std::chrono::milliseconds(500);
 /// How long the results of a finished job are served from memory.
 constexpr duration memory_retention = std::chrono::seconds(15);
@@ -86,7 +86,7 @@
         refuse(*exchange,
                error{error_code::bad_request,
                      (id == nullptr ? id_header : std::string("Host")) +
-                         " is missing",
+                         " header is missing",
                      ran_state::no,
                      {}});
         return;
@@ -307,7 +307,7 @@
                     log_level::warning, "job_refresh_failed",
                     {{"job", job.str()},
                      {"reason", record.has_error() ? record.error().message
-                                                   : "it is missing"}});
+                                                   : "the record is missing"}});
                 return;
             }
             found->second->apply_record(record.value());
@@ -374,7 +374,7 @@
     {
         owner->stop();
     }
-    // Other nodes run these jobs now and have their newest results.
+    // Other nodes run these jobs now and have their latest results.
     this->owned.clear();
     this->evict_at.clear();
 }
--- a/src/relay/job_service.hpp
+++ b/src/relay/job_service.hpp
@@ -21,7 +21,7 @@
 namespace parsleytrack::relay
 {
 
-/// Takes callers' calls about batch jobs, and runs the jobs that this node
+/// Handles callers' requests about batch jobs, and runs the jobs that this node
 /// owns.
 class job_service
 {
@@ -30,19 +30,20 @@
     /// \param slot_source Outlives this object.
     job_service(const relay_context& node, slot_client& slot_source);
 
-    /// Takes the submission of a job.
+    /// Handles the submission of a job.
     void submit(const std::shared_ptr<net::http_exchange>& exchange,
                 const std::shared_ptr<const routing::route_table>& table,
                 const routing::route& route);
 
-    /// Takes a call about a job that was accepted before.
+    /// Handles a request about a job that was accepted before.
     void handle_call(const std::shared_ptr<net::http_exchange>& exchange,
                      const job_call& call);
 
-    /// \returns The jobs that this node runs, or ran a moment ago.
+    /// \returns The jobs that this node runs, and finished ones still in
+    /// memory.
     std::vector<const jobs::owned_job*> owned_jobs() const;
 
-    /// Lets all jobs go, for a planned stop.
+    /// Releases all jobs for a planned stop.
     void stop();
 
 private:
@@ -73,7 +74,7 @@
     job_takeover takeover;
     job_peers peers;
     std::map<job_id, std::unique_ptr<job_owner>> owned;
-    /// When a finished job is dropped from memory; it stays in the store.
+    /// When to evict a finished job from memory; it stays in the store.
     std::map<job_id, time_point> evict_at;
     net::timer periodic_timer;
     bool stopped = false;
--- a/src/relay/job_takeover.cpp
+++ b/src/relay/job_takeover.cpp
@@ -14,12 +14,12 @@
 namespace
 {
 
-/// How long a job may be without an owner, beside the time in which the owner
-/// is found to be gone. The reads may be stale and cost the store little.
+/// How long a job may lack an owner, in addition to the time for detecting that
+/// the owner is gone. The scans allow stale reads, which cost the store little.
 constexpr duration scan_interval = std::chrono::seconds(2);
-/// After a change of the other nodes, several of which may change at once.
+/// Delay after a change in the group; several nodes may change at once.
 constexpr duration change_scan_delay = std::chrono::milliseconds(150);
-/// A node that has just started does not know yet who else lives.
+/// A node that has just started does not know yet which nodes are live.
 constexpr duration startup_delay = std::chrono::seconds(2);
 constexpr duration commit_timeout = std::chrono::seconds(5);
 
@@ -102,8 +102,8 @@
     if (state.value().owner == own.id &&
         state.value().owner_incarnation == own.start_incarnation)
     {
-        // A write of this node whose answer was lost, or a takeover that
-        // could not be finished.
+        // This node wrote the record but lost the response, or could not
+        // finish a takeover.
         this->claims_in_progress.insert(job);
         this->load(state.value(), record.revision);
         return;
@@ -169,14 +169,14 @@
             {
                 this->abandon(state.id, "read_input",
                               record.has_error() ? record.error().message
-                                                 : "it is missing");
+                                                 : "the record is missing");
                 return;
             }
             auto input = jobs::decode_input(record.value().value);
             if (input.has_error() ||
                 input.value().items.size() != state.item_count)
             {
-                this->abandon(state.id, "read_input", "it is damaged");
+                this->abandon(state.id, "read_input", "the record is damaged");
                 return;
             }
             this->load_outputs(state, revision, input.value());
@@ -204,14 +204,15 @@
                 auto output = jobs::decode_output(record.value);
                 if (output.has_error())
                 {
-                    this->abandon(state.id, "read_outputs", "one is damaged");
+                    this->abandon(state.id, "read_outputs",
+                                  "an output is damaged");
                     return;
                 }
                 outputs.push_back(std::move(output.value().output));
             }
             if (outputs.size() != state.outcomes.size())
             {
-                this->abandon(state.id, "read_outputs", "one is missing");
+                this->abandon(state.id, "read_outputs", "an output is missing");
                 return;
             }
             this->load_progress(std::make_shared<jobs::owned_job>(
@@ -226,7 +227,7 @@
         job_progress_key(id), key_value::read_freshness::latest,
         [this, job, id](const result<key_value::stored_record>& record)
         {
-            // Without it the items run from their start.
+            // Without saved progress the items run from the beginning.
             result<jobs::job_progress> progress = jobs::job_progress();
             if (record.has_error())
             {
--- a/src/relay/job_takeover.hpp
+++ b/src/relay/job_takeover.hpp
@@ -12,26 +12,27 @@
 namespace parsleytrack::relay
 {
 
-/// Finds jobs whose owner is gone and takes over those that fall to this node.
+/// Finds jobs whose owner is gone and takes over those for which this node is
+/// the preferred owner.
 class job_takeover
 {
 public:
     struct callbacks
     {
-        /// \returns Whether this node runs the job already.
+        /// \returns Whether this node already runs the job.
         std::function<bool(const job_id&)> is_owned;
         /// A job has been taken over.
         std::function<void(jobs::owned_job, jobs::job_progress)> on_taken_over;
-        /// A job that no node runs any more.
+        /// A finished job, which this node does not run, was found.
         std::function<void(const jobs::job_state&, store_revision)> on_finished;
-        /// A record of a job that this node runs.
+        /// The record of a job that this node runs was read.
         std::function<void(const key_value::stored_record&)> on_own_record;
     };
 
     /// \param node Outlives this object.
     job_takeover(const relay_context& node, callbacks hooks);
 
-    /// Looks for such jobs no more.
+    /// Stops looking for jobs to take over.
     void stop();
 
 private:
--- a/src/relay/job_transaction.hpp
+++ b/src/relay/job_transaction.hpp
@@ -7,10 +7,9 @@
 namespace parsleytrack::relay
 {
 
-/// \param commit Outcomes that are to be written.
-/// \param usage The route's tokens after it, and the revision that their record
-/// must still have.
-/// \returns The transaction.
+/// \param usage The route's waiting tokens after the commit, and the revision
+/// that their record must still have.
+/// \returns The transaction that writes the commit to the store.
 key_value::record_transaction transaction_of(const jobs::job_commit& commit,
                                              usage_tracker::usage usage);
 
--- a/src/relay/progress_tracker.cpp
+++ b/src/relay/progress_tracker.cpp
@@ -14,13 +14,13 @@
 namespace
 {
 
-/// What has been received of running items is written so often, beside the
-/// writes of outcomes: an item runs for some five seconds, and what a node that
-/// dies has not written is run again.
+/// The progress of running items is saved this often, in addition to commits of
+/// outcomes: an item runs for about five seconds, and work that a failed node
+/// did not save is done again.
 constexpr duration save_interval = std::chrono::milliseconds(2500);
-/// Progress that cannot be written soon is out of date.
+/// Progress that cannot be saved within this time is out of date.
 constexpr duration save_timeout = std::chrono::seconds(1);
-/// A quarter of the store's largest value.
+/// A quarter of the largest value that the store accepts.
 constexpr std::size_t max_record_bytes = 256 * 1024;
 
 } // namespace
--- a/src/relay/progress_tracker.hpp
+++ b/src/relay/progress_tracker.hpp
@@ -11,37 +11,36 @@
 namespace parsleytrack::relay
 {
 
-/// What a job's items have received so far, and how much of it the store knows.
+/// Tracks the output received for a job's items, and how much of it is saved.
 class progress_tracker
 {
 public:
-    /// \param job The job.
-    /// \param known What the store knows.
+    /// \param known The progress that is in the store.
     progress_tracker(job_id job, jobs::job_progress known, time_point now);
 
-    /// \returns Progress of an item; new for one that has none.
+    /// \returns Progress of an item; created if it has none.
     jobs::item_progress& progress_of(std::size_t item)
     {
         return this->items[item];
     }
 
-    /// The item has ended.
+    /// Removes an item that has ended.
     void erase(std::size_t item) { this->items.erase(item); }
 
-    /// \returns Whether it is time to write what is new.
+    /// \returns Whether it is time to save new progress.
     bool is_due(time_point now) const { return now >= this->next_save; }
 
-    /// Writes what the store does not know yet, if anything.
+    /// Writes the progress to the store if there is unsaved progress.
     ///
     /// \param store Outlives the call.
-    /// \param revision That of the job's state, which must still hold.
+    /// \param revision Revision that the job's state must still have.
     void save(key_value::record_client& store, store_revision revision);
 
-    /// Adds what there is to a transaction, or erases a record that is of no
-    /// more use. It counts as known from then on.
+    /// Adds the progress to a transaction, or erases its record if no item
+    /// needs it any more. The progress counts as saved from then on.
     void add_to(key_value::record_transaction& transaction, time_point now);
 
-    /// \returns Whether the store does not know all of it.
+    /// \returns Whether there is unsaved progress.
     bool has_unsaved() const;
 
 private:
@@ -49,7 +48,7 @@
 
     job_id job;
     jobs::job_progress items;
-    /// Events of all items that the store knows of.
+    /// Saved events of all items.
     std::int64_t saved_events = 0;
     time_point next_save;
 };
--- a/src/relay/result_readers.hpp
+++ b/src/relay/result_readers.hpp
@@ -10,7 +10,7 @@
 namespace parsleytrack::relay
 {
 
-/// Readers of one job's results that wait until there are any.
+/// Pending reads of one job's results, answered when there are results.
 class result_readers
 {
 public:
@@ -25,14 +25,14 @@
     /// Reads results.
     ///
     /// \param after Position of the first result.
-    /// \param wait How long to wait for one when there is none.
-    /// \param callback Gets the page, at once or later.
+    /// \param wait How long to wait if there is no result yet.
+    /// \param callback Gets the page, during this call or later.
     void read(std::size_t after, duration wait, page_callback callback);
 
-    /// Answers those for whom there are results now, or never will be.
+    /// Answers the reads that have results now; all if the job is finished.
     void answer_ready();
 
-    /// Answers all with what there is.
+    /// Answers all reads with the results that there are.
     void answer_all();
 
 private:
