--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -85,11 +85,11 @@
     {
         this->handle_chunk(chunk);
     };
-    hooks.on_end = [this](attempt_outcome verdict,
+    hooks.on_end = [this](attempt_outcome outcome,
                           const net::http_response& response,
                           const std::string& reason)
     {
-        this->handle_end(verdict, response, reason);
+        this->handle_end(outcome, response, reason);
     };
     this->attempt = std::make_unique<replica_exchange>(
         this->context.http, names, *entry, std::move(request),
@@ -123,11 +123,11 @@
     }
 }
 
-void item_run::handle_end(attempt_outcome verdict,
+void item_run::handle_end(attempt_outcome outcome,
                           const net::http_response& response,
                           const std::string& reason)
 {
-    const bool answered = verdict == attempt_outcome::answered;
+    const bool answered = outcome == attempt_outcome::answered;
     if (answered && response.status == status_ok &&
         !this->splitter.has_partial_event() && this->progress.last_event > 0)
     {
@@ -140,7 +140,7 @@
         return;
     }
     this->slots.report_failure(request_id(this->item.id), this->service,
-                               this->replica, verdict);
+                               this->replica, outcome);
     const bool failed = answered && response.status != status_ok;
     this->finish(failed ? item_run_result::failed
                         : item_run_result::interrupted,
--- a/src/relay/item_run.hpp
+++ b/src/relay/item_run.hpp
@@ -56,7 +56,7 @@
 private:
     void send(const replica_id& replica);
     void handle_chunk(std::string_view chunk);
-    void handle_end(attempt_outcome verdict, const net::http_response& response,
+    void handle_end(attempt_outcome outcome, const net::http_response& response,
                     const std::string& reason);
     void finish(item_run_result end, const std::string& reason);
 
