--- a/src/relay/item_run.cpp
+++ b/src/relay/item_run.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// A replica that gives no sign for so long is held to be silent. Longer than
-/// for online requests, since nobody waits and prompts are read again after a
-/// preemption.
+/// A replica that sends nothing for this long is considered unresponsive.
+/// Longer than for online requests, since no caller waits and prompts are
+/// processed again after a preemption.
 constexpr duration unresponsive_timeout = std::chrono::milliseconds(1500);
 constexpr int status_ok = 200;
 constexpr int status_impossible = 422;
@@ -85,11 +85,11 @@
     {
         this->handle_chunk(chunk);
     };
-    hooks.on_end = [this](attempt_outcome verdict,
+    hooks.on_end = [this](attempt_outcome outcome,
                           const net::http_response& response,
                           const std::string& reason)
     {
-        this->handle_end(verdict, response, reason);
+        this->handle_end(outcome, response, reason);
     };
     this->attempt = std::make_unique<replica_exchange>(
         this->context.http, names, *entry, std::move(request),
@@ -106,7 +106,7 @@
     for (const stream_event& event :
          this->splitter.feed_new(chunk, this->progress.last_event))
     {
-        // Comments add nothing.
+        // Comments of the event stream carry no data.
         if (!event.number)
         {
             continue;
@@ -119,15 +119,15 @@
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->abort("an event has no end");
+        this->attempt->abort("an event exceeds the size limit");
     }
 }
 
-void item_run::handle_end(attempt_outcome verdict,
+void item_run::handle_end(attempt_outcome outcome,
                           const net::http_response& response,
                           const std::string& reason)
 {
-    const bool answered = verdict == attempt_outcome::answered;
+    const bool answered = outcome == attempt_outcome::answered;
     if (answered && response.status == status_ok &&
         !this->splitter.has_partial_event() && this->progress.last_event > 0)
     {
@@ -140,7 +140,7 @@
         return;
     }
     this->slots.report_failure(request_id(this->item.id), this->service,
-                               this->replica, verdict);
+                               this->replica, outcome);
     const bool failed = answered && response.status != status_ok;
     this->finish(failed ? item_run_result::failed
                         : item_run_result::interrupted,
@@ -149,7 +149,7 @@
 
 void item_run::finish(item_run_result end, const std::string& reason)
 {
-    // The exchange may be the one whose callback runs.
+    // This may be called from a callback of the exchange.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     const auto callback = std::move(this->ended_callback);
