--- a/src/feeds/feed_codec.cpp
+++ b/src/feeds/feed_codec.cpp
@@ -25,7 +25,8 @@
     return wire::feed_part_kind::unchanged;
 }
 
-/// An unknown kind is taken for trouble, so that the subscriber asks elsewhere.
+/// An unknown kind maps to failing, so that the subscriber switches to another
+/// source.
 feed_message::kind from_wire(wire::feed_part_kind::type what)
 {
     switch (what)
--- a/src/feeds/feed_codec.hpp
+++ b/src/feeds/feed_codec.hpp
@@ -10,8 +10,8 @@
 namespace parsleytrack::feeds
 {
 
-/// Bytes of the messages of a feed. Reading gives error_code::corrupt_data for
-/// what cannot be read.
+/// Encoding of feed messages. Decoding returns error_code::corrupt_data for
+/// malformed input.
 std::string encode(const feed_request& request);
 result<feed_request> decode_request(std::string_view bytes);
 
--- a/src/feeds/feed_message.hpp
+++ b/src/feeds/feed_message.hpp
@@ -7,24 +7,25 @@
 namespace parsleytrack::feeds
 {
 
-/// One message of a feed.
+/// A message from a source to its subscribers.
 struct feed_message
 {
     enum class kind
     {
         /// All records.
         all,
-        /// What has changed since the last message.
+        /// The changes since the last message.
         changes,
-        /// Nothing has; shows that the source lives and reaches the store.
+        /// No changes; shows that the source is live and can reach the store.
         unchanged,
-        /// The source does not reach the store.
+        /// The source cannot reach the store.
         failing
     };
 
     kind what = kind::unchanged;
     std::vector<key_value::record_change> records;
-    /// All: the store's revision up to which the records are complete.
+    /// For kind::all: the store's revision up to which the records are
+    /// complete.
     store_revision position;
 };
 
--- a/src/feeds/feed_publisher.cpp
+++ b/src/feeds/feed_publisher.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// Several full lists of the largest fleet; a node that has so much unread has
-/// hung.
+/// Several full listings of the largest fleet. A subscriber with more unread
+/// data is considered hung.
 constexpr std::size_t max_unread_bytes = 4 * 1024 * 1024;
 
 error disconnected_error(const char* why)
@@ -53,7 +53,8 @@
             log_event(log_level::warning, "feed_receiver_let_go",
                       {{"unread_bytes", subscriber->pending_output_bytes()}});
             entry = this->subscribers.erase(entry);
-            subscriber->fail(disconnected_error("the messages are not read"));
+            subscriber->fail(disconnected_error(
+                "the subscriber does not read its messages"));
             continue;
         }
         subscriber->send_part(bytes);
--- a/src/feeds/feed_publisher.hpp
+++ b/src/feeds/feed_publisher.hpp
@@ -9,18 +9,18 @@
 namespace parsleytrack::feeds
 {
 
-/// The nodes that follow the store's records through this one.
+/// Publishes this node's copy of the store's records to subscribed nodes.
 class feed_publisher
 {
 public:
-    /// Takes a node in and sends it a first message.
+    /// Adds a subscriber and sends it a first message.
     void add(const std::shared_ptr<wire::peer_exchange>& exchange,
              const feed_message& first);
 
-    /// Sends a message to all. A node that does not read is let go.
+    /// Sends a message to all subscribers. Disconnects those that do not read.
     void send(const feed_message& message);
 
-    /// Lets all go; they turn to other sources.
+    /// Disconnects all subscribers; they switch to other sources.
     void close();
 
     std::size_t size() const { return this->subscribers.size(); }
--- a/src/feeds/feed_request.hpp
+++ b/src/feeds/feed_request.hpp
@@ -7,12 +7,12 @@
 namespace parsleytrack::feeds
 {
 
-/// What a node asks a source for.
+/// Request of a node to subscribe to a source.
 struct feed_request
 {
     std::string prefix;
-    /// The store's revision up to which the node is complete; 0 when it knows
-    /// nothing.
+    /// The store's revision up to which the node is complete; 0 when it has no
+    /// records.
     store_revision position;
 };
 
--- a/src/feeds/feed_sources.hpp
+++ b/src/feeds/feed_sources.hpp
@@ -9,24 +9,27 @@
 namespace parsleytrack::feeds
 {
 
-/// How many of the sources a node that is none follows at the same time, so
-/// that the loss of one is not noticed.
+/// Number of sources that a node other than a source follows at the same time,
+/// so that losing one causes no gap.
 constexpr std::size_t sources_per_node = 2;
 
-/// Chooses the nodes that follow the store themselves: one in each
-/// availability zone, and at least as many as a node wants to follow.
+/// Chooses the nodes that follow the store directly: one in each availability
+/// zone, and at least sources_per_node.
 ///
-/// \param living The nodes of the region.
-/// \param topic What is followed; spreads the work of several topics.
-/// \param max_direct_followers Up to so many nodes all follow the store
-/// themselves. \returns The sources, the best first; empty when all nodes are.
+/// \param live_nodes The live nodes of the region.
+/// \param topic Name of the feed; different topics get different sources, which
+/// spreads the load.
+/// \param max_direct_followers Up to this number of nodes, all follow the
+/// store directly.
+/// \returns The sources in order of rank; empty when all nodes follow the store
+/// directly.
 std::vector<node_info> feed_sources(const std::vector<node_info>& live_nodes,
                                     std::string_view topic,
                                     std::size_t max_direct_followers);
 
-/// \param sources As feed_sources() gave them.
-/// \param zone Where the node is; the source there comes first.
-/// \returns The sources that a node follows.
+/// \param sources The result of feed_sources().
+/// \param zone The node's zone; a source in it comes first.
+/// \returns The sources that the node follows.
 std::vector<node_info> followed_sources(const std::vector<node_info>& sources,
                                         const availability_zone_name& zone);
 
--- a/src/feeds/merged_records.cpp
+++ b/src/feeds/merged_records.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Erased keys that are remembered: several times the replicas of the largest
-/// fleet that leave in a release.
+/// Several times the number of replicas that leave the largest fleet during a
+/// release.
 constexpr std::size_t max_erased_keys = 4000;
 
 } // namespace
--- a/src/feeds/merged_records.hpp
+++ b/src/feeds/merged_records.hpp
@@ -11,30 +11,32 @@
 namespace parsleytrack::feeds
 {
 
-/// Records of one prefix, joined from sources that may be behind one another.
-/// What has been learned from one is never undone by another.
+/// Records of one prefix, merged from sources that may lag behind each other.
+/// Data from a lagging source never overwrites newer data.
 class merged_records
 {
 public:
     using change_list = std::vector<key_value::record_change>;
 
-    /// Takes a full listing.
+    /// Replaces the records with a full listing.
     ///
-    /// \returns What it changes; absent when it is older than what is known.
+    /// \returns The resulting changes; absent when the listing is older than
+    /// the records, which then stay as they are.
     std::optional<change_list>
     apply_listing(const key_value::record_listing& listing);
 
-    /// Takes changes that follow what the same source has said before.
+    /// Applies changes that directly follow the previous data of the same
+    /// source.
     ///
-    /// \returns Those that were not known yet, in their order.
+    /// \returns The changes that were new, in their order.
     change_list apply_changes(const change_list& changes);
 
-    /// \returns Everything that is known.
+    /// \returns All records.
     key_value::record_listing all() const;
 
-    /// \param position A revision up to which someone else is complete.
-    /// \returns What has changed since; absent when it is not known any more
-    /// what was erased since.
+    /// \param position The revision up to which a subscriber is complete.
+    /// \returns The changes since then; absent when the erased keys are no
+    /// longer remembered back to that revision.
     std::optional<change_list> changes_since(store_revision position) const;
 
     std::size_t size() const { return this->records.size(); }
@@ -47,9 +49,10 @@
     void erase(const std::string& key, store_revision revision);
 
     std::map<std::string, key_value::stored_record> records;
-    /// Keys that were erased lately, and the revision at the latest.
+    /// Recently erased keys, with an upper bound of the revision of the
+    /// erasure.
     std::map<std::string, store_revision> erased;
-    /// From this revision on all erased keys are remembered.
+    /// All keys erased after this revision are in `erased`.
     store_revision erased_since;
     store_revision complete_to;
 };
--- a/src/feeds/record_feed.cpp
+++ b/src/feeds/record_feed.cpp
@@ -13,18 +13,19 @@
 namespace
 {
 
-/// Signs of life, and attempts to reach a source that was lost.
+/// Interval of heartbeats and of attempts to resubscribe to a lost source.
 constexpr duration tick_interval = std::chrono::milliseconds(600);
-/// Longest time between two messages of a source. Two lost signs of life; with
-/// the call to the store that follows it is well below the two seconds in which
-/// changes are due.
+/// Longest time between two messages of a source: two lost heartbeats. Together
+/// with the subsequent call to the store it is well below the two seconds
+/// within which changes must arrive.
 constexpr duration source_timeout = std::chrono::milliseconds(1600);
-/// Largest list that a source sends as a whole: some hundred kilobytes. Nodes
-/// with an older list of more records ask the store until they are up to date.
+/// Largest listing that a source sends as a whole: a few hundred kilobytes.
+/// Nodes that need a larger one read from the store until they are up to date.
 constexpr std::size_t max_listing_records = 500;
-/// How long a source that could not be followed is left alone.
+/// Delay before resubscribing to a source that was not healthy.
 constexpr duration retry_delay = std::chrono::seconds(3);
-/// How long a source must be well before the store is no longer asked.
+/// How long a source must be healthy before this node stops reading from the
+/// store.
 constexpr duration settling_time = std::chrono::seconds(2);
 
 } // namespace
@@ -59,7 +60,7 @@
 
 void record_feed::start()
 {
-    // A node that has just started knows of no sources yet.
+    // A node that has just started does not know any sources yet.
     this->own_follower.start();
     this->group.on_change([this] { this->choose_sources(); });
     this->tick_timer =
@@ -150,7 +151,7 @@
     {
         this->log_source("feed_part_refused", source.str(),
                          message.has_error() ? message.error().message
-                                             : "not asked");
+                                             : "no subscription");
         return;
     }
     this->last_message_at = net::event_loop::now();
@@ -177,7 +178,7 @@
         return;
     case feed_message::kind::failing:
         this->source_failed = true;
-        this->end_subscription(source, "the source does not reach the store");
+        this->end_subscription(source, "the source cannot reach the store");
         return;
     }
 }
@@ -190,7 +191,7 @@
     {
         return;
     }
-    // The call may be the one whose callback runs.
+    // This may run inside a callback of the call itself.
     this->loop.free_later(std::move(found->second.call));
     const bool was_healthy = found->second.healthy;
     this->retry_at[source] =
@@ -239,10 +240,11 @@
     }
     if (this->records.size() > max_listing_records)
     {
-        exchange->fail(error{error_code::no_replica,
-                             "what has changed since is not known any more",
-                             ran_state::no,
-                             {}});
+        exchange->fail(
+            error{error_code::no_replica,
+                  "the changes since this position are no longer known",
+                  ran_state::no,
+                  {}});
         return;
     }
     first.what = feed_message::kind::all;
--- a/src/feeds/record_feed.hpp
+++ b/src/feeds/record_feed.hpp
@@ -19,19 +19,20 @@
 namespace parsleytrack::feeds
 {
 
-/// Keeps up with all keys of a prefix. In a large group only a few nodes ask
-/// the store; the others follow two of these and ask the store themselves as
-/// soon as neither is well, so that the store's load does not grow with the
-/// group and a node that the store turns away still learns of changes.
+/// Follows all keys of a prefix. In a large group only a few nodes read from
+/// the store. The others subscribe to two of these and fall back to the store
+/// as soon as neither is healthy. The store's load thus does not grow with the
+/// group, and a node that the store rejects still receives changes.
 class record_feed
 {
 public:
     /// \param event_loop Outlives this object, as do the other references.
-    /// \param key_prefix Which keys; the same on all nodes.
-    /// \param pause_after_changes How long changes are collected before the
-    /// store is asked for the next ones.
-    /// \param max_direct_followers Up to so many nodes all ask the store
-    /// themselves. \param listener What is told; see record_follower.
+    /// \param key_prefix Prefix of the keys; the same on all nodes.
+    /// \param pause_after_changes Delay before the next read of the store,
+    /// during which changes are collected.
+    /// \param max_direct_followers Up to this number of nodes, all read from
+    /// the store directly.
+    /// \param listener See record_follower.
     record_feed(net::event_loop& event_loop, key_value::record_client& client,
                 wire::peer_network& network, peering::peer_group& nodes,
                 random_source& random_numbers, std::string key_prefix,
@@ -40,15 +41,15 @@
 
     void start();
 
-    /// \returns When the store, or a node that follows it, last confirmed what
-    /// is known.
+    /// \returns The time at which the store, or a source, last confirmed the
+    /// records.
     time_point confirmed_at() const;
 
 private:
     struct subscription
     {
         std::unique_ptr<wire::peer_call> call;
-        /// It has sent all records, and reaches the store.
+        /// This node has all records of the source, which can reach the store.
         bool healthy = false;
     };
 
@@ -62,7 +63,7 @@
     void apply_listing(const key_value::record_listing& listing,
                        bool after_failure);
     void apply_changes(const std::vector<key_value::record_change>& changes);
-    /// Tells the listener that what it knows holds again.
+    /// Notifies the listener that the records are valid again.
     void recover();
     void handle_failure(const error& reason);
     void log_source(const char* event, const std::string& source,
@@ -77,17 +78,18 @@
     merged_records records;
     key_value::record_follower own_follower;
     feed_publisher publisher;
-    /// Sources that this node follows; empty when it asks the store itself.
+    /// Sources that this node follows; empty when it reads from the store
+    /// directly.
     std::vector<node_info> sources;
     std::map<node_id, subscription> subscriptions;
-    /// Since when a source has been well without a break.
+    /// Start of the current period with at least one healthy source.
     time_point healthy_since;
     time_point last_message_at;
-    /// The listener was told that what it knows may be out of date.
+    /// The listener was notified that the records may be out of date.
     bool failing = false;
-    /// A source has said that it does not reach the store.
+    /// A source has reported that it cannot reach the store.
     bool source_failed = false;
-    /// When sources that could not be followed are tried again.
+    /// Earliest time of the next subscription to a source that was lost.
     std::map<node_id, time_point> retry_at;
     net::timer tick_timer;
 };
--- a/tests/feeds/merged_records_test.cpp
+++ b/tests/feeds/merged_records_test.cpp
@@ -138,8 +138,8 @@
             const bool deleted = random() % 3 == 0;
             history.push_back(change(key.c_str(), revision, deleted));
             deleted ? store.erase(key) : (store[key] = revision, 0);
-            // Each source tells its part of the history in order, and is
-            // behind by a different measure.
+            // Each source delivers the history in order, with a lag of its
+            // own.
             for (std::size_t& position : delivered)
             {
                 const std::size_t until =
