--- a/src/peering/first_incarnation.hpp
+++ b/src/peering/first_incarnation.hpp
@@ -7,8 +7,8 @@
 namespace parsleytrack::peering
 {
 
-/// \returns An incarnation for a process that starts now, above that of any
-/// earlier process of the same node.
+/// \returns An incarnation for a process that starts now, greater than those of
+/// all earlier processes of the node.
 inline incarnation_number first_incarnation()
 {
     const auto since_epoch =
--- a/src/peering/group_options.hpp
+++ b/src/peering/group_options.hpp
@@ -5,9 +5,9 @@
 namespace parsleytrack::peering
 {
 
-/// Times for groups whose nodes are killed often: a dead node is to be left
-/// out of address answers within about two seconds, and a node that is back is
-/// to be known everywhere before callers come.
+/// Intervals for groups whose nodes are killed often: address responses must
+/// exclude a dead node within about two seconds, and all nodes must know a
+/// restarted one before callers arrive.
 inline membership_options group_options()
 {
     membership_options options;
--- a/src/peering/membership_conversion.cpp
+++ b/src/peering/membership_conversion.cpp
@@ -15,8 +15,9 @@
 namespace
 {
 
-/// Incarnations and versions begin as the wall clock's microseconds and are
-/// counted up; a larger number is damage and would leave no room above it.
+/// Incarnations and versions start as the wall clock's microseconds and are
+/// then incremented. A larger number is corrupt and would leave no room for
+/// increments.
 constexpr std::int64_t max_clock_number = 100'000'000'000'000'000;
 
 bool is_clock_number(std::int64_t number)
@@ -224,7 +225,7 @@
     const bool needs_address = kind == membership_packet_kind::indirect_probe;
     if (!kind || message.sender.empty() || (needs_address && !subject))
     {
-        return corrupt("a datagram of the membership makes no sense");
+        return corrupt("invalid membership datagram");
     }
     membership_packet packet;
     packet.kind = *kind;
@@ -272,7 +273,7 @@
     const wire::view& message = decoded.value();
     if (message.sender.empty())
     {
-        return corrupt("a view names no sender");
+        return corrupt("a view without a sender");
     }
     view_message view;
     view.region = region_name(message.region);
--- a/src/peering/membership_conversion.hpp
+++ b/src/peering/membership_conversion.hpp
@@ -10,21 +10,19 @@
 namespace parsleytrack
 {
 
-/// \param packet A datagram of the membership.
-/// \returns Its bytes.
+/// \returns The datagram that carries the packet.
 std::string encode_packet(const membership_packet& packet);
 
-/// \param bytes A datagram as received.
-/// \returns The packet without the records that make no sense, or
+/// \param bytes A received datagram.
+/// \returns The packet without its invalid records, or
 /// error_code::corrupt_data.
 result<membership_packet> decode_packet(std::string_view bytes);
 
-/// \param message Half of a full exchange.
-/// \returns Its bytes.
+/// \param message Request or response of a full exchange.
 std::string encode_view(const view_message& message);
 
-/// \param bytes Half of a full exchange as received.
-/// \returns The message without the records that make no sense, or
+/// \param bytes A received request or response of a full exchange.
+/// \returns The message without its invalid records, or
 /// error_code::corrupt_data.
 result<view_message> decode_view(std::string_view bytes);
 
--- a/src/peering/membership_driver.cpp
+++ b/src/peering/membership_driver.cpp
@@ -107,8 +107,8 @@
 {
     const std::vector<membership_command> commands =
         this->members.take_commands();
-    // Several changes at once, such as those of a full exchange, are one new
-    // view.
+    // Several simultaneous changes, such as those of a full exchange, cause one
+    // notification.
     const bool view_changed = std::any_of(
         commands.begin(), commands.end(),
         [](const membership_command& command)
@@ -149,7 +149,7 @@
 
 void membership_driver::execute(const view_changed_command&)
 {
-    // The listener was told before the first command.
+    // The listener was notified before the first command was executed.
 }
 
 void membership_driver::execute(const node_dead_command& command)
--- a/src/peering/membership_driver.hpp
+++ b/src/peering/membership_driver.hpp
@@ -14,7 +14,7 @@
 namespace parsleytrack::peering
 {
 
-/// Does the input and output of one membership over the peer network.
+/// Performs the input and output of a membership over the peer network.
 class membership_driver
 {
 public:
@@ -22,25 +22,24 @@
     {
         /// The view of the nodes has changed.
         std::function<void()> on_view_changed;
-        /// A datagram could not be read.
+        /// A datagram could not be decoded.
         std::function<void(const endpoint& from, const error&)>
             on_datagram_rejected;
-        /// A full exchange of views had no answer.
+        /// A full exchange of views failed.
         std::function<void(const error&)> on_exchange_failed;
-        /// The answer to one could not be read. Optional.
+        /// The response to a full exchange could not be decoded. Optional.
         std::function<void(const error&)> on_response_rejected;
     };
 
     /// \param event_loop Outlives this object, as do the other references.
-    /// \param driven What is done is decided there.
-    /// \param exchange_timeout Longest time for the answer to an exchange.
-    /// \param listener What is told.
+    /// \param driven The state machine that decides what to do.
+    /// \param exchange_timeout Longest wait for the response to an exchange.
     membership_driver(net::event_loop& event_loop, wire::peer_network& network,
                       membership& driven, duration exchange_timeout,
                       callbacks listener);
 
-    /// Does what the membership has decided; to be called after each call of
-    /// it from outside.
+    /// Executes the commands of the membership. Must be called after each
+    /// direct call of the membership.
     void execute_commands();
 
 private:
--- a/src/peering/peer_group.cpp
+++ b/src/peering/peer_group.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-/// A view of the largest region takes some milliseconds; several times a link
-/// that loses packets.
+/// Transferring the view of the largest region takes a few milliseconds, or
+/// several times that on a lossy link.
 constexpr duration exchange_timeout = std::chrono::seconds(1);
 
 } // namespace
--- a/src/peering/peer_group.hpp
+++ b/src/peering/peer_group.hpp
@@ -17,8 +17,8 @@
 namespace parsleytrack::peering
 {
 
-/// Runs the membership over the peer network, for a node that needs no more
-/// of the other nodes than who they are and whether they live.
+/// Runs the membership over the peer network, for a node that only needs the
+/// identity and liveness of the other nodes.
 class peer_group
 {
 public:
@@ -26,14 +26,13 @@
                random_source& random_numbers, const node_info& own,
                std::vector<endpoint> seeds);
 
-    /// \returns Nodes that are held to live, this one included, leaving ones
-    /// left out.
+    /// \returns Nodes considered live, including this one but not leaving ones.
     const std::vector<node_info>& live_nodes() const { return this->live; }
 
-    /// \returns All nodes that are remembered, the dead ones included.
+    /// \returns All known nodes, including dead ones.
     std::vector<node_info> all() const { return this->members.nodes(); }
 
-    /// \returns The node, if it is known and not dead.
+    /// \returns The node; absent when it is unknown or dead.
     std::optional<node_info> find(const node_id& id) const;
 
     const node_info& own() const { return this->members.own_info(); }
