--- a/src/key_value/record_adapter.hpp
+++ b/src/key_value/record_adapter.hpp
@@ -13,17 +13,17 @@
 namespace parsleytrack::key_value
 {
 
-/// How fresh the answer to a read must be.
+/// How fresh the result of a read must be.
 enum class read_freshness
 {
-    /// Includes every change that was acknowledged before the read.
+    /// Includes all changes that were acknowledged before the read.
     latest,
-    /// May be seconds old; costs the store less.
+    /// May be seconds old; cheaper for the store.
     may_be_stale
 };
 
-/// Translates the calls of the record client into the HTTP calls of one kind
-/// of store. An adapter implements it; it keeps no state.
+/// Converts operations of the record client to HTTP requests of one kind of
+/// store, and the responses to results. Implementations keep no state.
 class record_adapter
 {
 public:
@@ -42,8 +42,8 @@
     virtual result<record_listing>
     parse_list_response(const net::http_response& response) const = 0;
 
-    /// \param after The revision from which on changes are wanted.
-    /// \param wait The longest time that the store may hold the call.
+    /// \param after The store returns changes after this revision.
+    /// \param wait The longest time that the store may hold the request.
     virtual net::http_request watch_request(const std::string& prefix,
                                             store_revision after,
                                             duration wait) const = 0;
@@ -53,7 +53,7 @@
     virtual net::http_request
     commit_request(const record_transaction& transaction) const = 0;
     /// \returns The outcome. An error's `ran` is ran_state::no when the store
-    /// has said that it did nothing.
+    /// has reported that it applied nothing.
     virtual result<transaction_outcome>
     parse_commit_response(const record_transaction& transaction,
                           const net::http_response& response) const = 0;
--- a/src/relay/relay_adapter.hpp
+++ b/src/relay/relay_adapter.hpp
@@ -20,8 +20,8 @@
 namespace parsleytrack::relay
 {
 
-/// Translates between what the world outside speaks and the relay's own types.
-/// An adapter implements it; it keeps no state and decides nothing.
+/// Converts between the formats of a platform and the relay's own types.
+/// Implementations keep no state and make no decisions.
 class relay_adapter
 {
 public:
@@ -31,22 +31,23 @@
     virtual const store_keys& keys() const = 0;
     virtual const key_value::record_adapter& records() const = 0;
 
-    /// \param value What operators have written.
+    /// \param value The configuration that operators have written.
     virtual result<routing::configuration>
     parse_configuration(std::string_view value) const = 0;
 
     /// \param key The key of the entry.
-    /// \param value What the replica has written of itself.
+    /// \param value The entry that the replica has written.
     virtual result<routing::replica_entry>
     parse_replica(const std::string& key, std::string_view value) const = 0;
 
-    /// \returns The question; absent when the request is another one.
+    /// \returns The address request; absent when the HTTP request is another
+    /// one.
     virtual std::optional<address_request>
     parse_address_request(const net::http_request_head& head) const = 0;
     virtual std::string
     format_address_response(const address_response& response) const = 0;
 
-    /// \returns The call; absent when the request is another one.
+    /// \returns The job call; absent when the HTTP request is another one.
     virtual std::optional<job_call>
     parse_job_call(const net::http_request_head& head) const = 0;
     /// \returns The items of a submission, or error_code::bad_request.
@@ -55,7 +56,7 @@
     virtual std::string format_results(const jobs::job_page& page,
                                        std::size_t after) const = 0;
 
-    /// \returns The body that tells operators how far a retirement is.
+    /// \returns The value that reports the state of a retirement to operators.
     virtual std::string format_retirement_state(bool completed) const = 0;
 };
 
--- a/tests/platform/replica_decoder_test.cpp
+++ b/tests/platform/replica_decoder_test.cpp
@@ -20,7 +20,7 @@
     return decode_replica(replica_id("i"), text).has_value();
 }
 
-/// \returns The good entry with one text replaced.
+/// \returns The good entry with `from` replaced.
 static std::string with(const std::string& from, const std::string& to)
 {
     std::string text = good;
