--- a/src/decisions/replica_health.hpp
+++ b/src/decisions/replica_health.hpp
@@ -5,50 +5,49 @@
 namespace parsleytrack
 {
 
-/// Leaves a replica alone after failures in a row, then tries it again with
-/// one request at a time. A replica that is silent gets no request until it has
-/// given a sign of life, since each request that tried it would be late.
+/// Circuit breaker for one replica: excludes it after consecutive failures,
+/// then retries it with one request at a time. An unresponsive replica gets no
+/// request until it has sent something, since a request sent to probe it would
+/// miss its deadline.
 class replica_health
 {
 public:
-    /// \param failure_limit Failures in a row that are too many.
-    /// \param initial_backoff How long the replica is left alone at first.
-    /// \param max_backoff Bound of the pause, which doubles each time.
+    /// \param failure_limit Consecutive failures that exclude the replica.
+    /// \param initial_backoff How long the replica is excluded the first time.
+    /// \param max_backoff Upper bound of the backoff, which doubles each time.
     replica_health(int failure_limit, duration initial_backoff,
                    duration max_backoff);
 
-    /// \returns How much work may run on the replica at the same time.
-    ///
     /// \param slots The replica's slots.
-    /// \param now The time.
+    /// \returns How many requests may run on the replica at the same time.
     int allowed_slots(int slots, time_point now) const;
 
-    /// \returns Whether the replica has yet to show that it has recovered; it
-    /// gets one piece of work at a time until then.
+    /// \returns Whether no request has succeeded yet since the failures; until
+    /// one does, the replica gets one request at a time.
     bool on_trial() const
     {
         return this->consecutive_failures >= this->failure_limit;
     }
 
-    /// \returns Whether the replica is not being left alone.
+    /// \returns Whether the replica may get requests.
     bool usable(time_point now) const
     {
         return !this->unresponsive && now >= this->excluded_until;
     }
 
-    /// \returns Whether the replica is held to be dead or frozen.
+    /// \returns Whether the replica is presumed dead or frozen.
     bool is_unresponsive() const { return this->unresponsive; }
 
-    /// \returns When the replica is tried again; in the past when it is usable.
+    /// \returns When the replica is retried; in the past when it is usable.
     time_point retry_at() const { return this->excluded_until; }
 
     void record_success();
     void record_failure(time_point now);
 
-    /// The replica did not answer in time.
+    /// The replica did not respond in time.
     void mark_unresponsive(time_point now);
 
-    /// Anything came from the replica.
+    /// Called when anything has been received from the replica.
     void mark_responsive() { this->unresponsive = false; }
 
 private:
--- a/src/routing/caller_limits.hpp
+++ b/src/routing/caller_limits.hpp
@@ -6,14 +6,14 @@
 namespace parsleytrack::routing
 {
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for callers.
 struct caller_limits
 {
     byte_count header;
     byte_count body;
-    /// Longest time until a request's head is complete.
+    /// Maximum time until a request's header is complete.
     duration header_timeout = duration::zero();
-    /// Longest time that a connection may be idle between requests.
+    /// Maximum time that a connection may be idle between requests.
     duration idle_timeout = duration::zero();
 };
 
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -10,7 +10,7 @@
 namespace parsleytrack::routing
 {
 
-/// One version of what operators have set, complete.
+/// One complete version of the configuration that operators have set.
 struct configuration
 {
     configuration_version version;
--- a/src/routing/replica_entry.hpp
+++ b/src/routing/replica_entry.hpp
@@ -9,19 +9,20 @@
 namespace parsleytrack::routing
 {
 
-/// What a replica says of itself in the list of replicas.
+/// A replica's own entry in the list of replicas.
 struct replica_entry
 {
     replica_id id;
     service_name service;
     endpoint address;
     availability_zone_name availability_zone;
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     int slots = 1;
-    /// Announced that it will stop.
+    /// Whether it has announced that it will stop.
     bool draining = false;
-    /// When this life of the replica began, in Unix milliseconds; absent when
-    /// the entry does not say. A new value means that nothing of before holds.
+    /// When the replica process started, in Unix milliseconds; absent when the
+    /// entry does not contain it. A new value means that the replica restarted
+    /// and that earlier observations of it no longer apply.
     std::optional<std::int64_t> started_at_ms;
 
     bool operator==(const replica_entry&) const = default;
--- a/src/routing/replica_registry.hpp
+++ b/src/routing/replica_registry.hpp
@@ -11,46 +11,48 @@
 namespace parsleytrack::routing
 {
 
-/// The replicas that may be used, joined from their entries in the store and
-/// from what requests to them have shown. Entries stay while the store is out
-/// of reach, and for a grace period after its return, since entries that
-/// lapsed in the outage come back within it.
+/// Registry of the known replicas, combining their entries in the store with
+/// what requests have shown about them. Entries are kept while the store is
+/// unreachable and for a grace period after its return, since replicas restore
+/// entries that expired during the outage within that period.
 class replica_registry
 {
 public:
-    /// How long after the store's return a missing entry may still come back.
-    /// Covers the announced two seconds and a margin for delays.
+    /// How long after the store's return a missing entry may still be restored.
+    /// The platform announces two seconds; the rest is a margin for delays.
     static constexpr duration return_grace = std::chrono::milliseconds(2200);
 
     /// Replaces all entries by a full listing.
     ///
-    /// \param after_outage Whether the store was out of reach before.
+    /// \param after_outage Whether the store was unreachable before; if so, the
+    /// grace period starts.
     void replace_all(const std::map<replica_id, replica_entry>& listed,
                      bool after_outage, time_point now);
 
-    /// Takes in one changed entry.
+    /// Adds or replaces one entry.
     void update(const replica_entry& entry);
 
-    /// Takes in that an entry was removed, or cannot be read any more.
+    /// Removes an entry that was deleted or has become unreadable; during an
+    /// outage or grace period it is kept until expire().
     void remove(const replica_id& id, time_point now);
 
-    /// The store has stopped answering: later removals may only mean that
-    /// leases lapsed.
+    /// The store has stopped responding: later removals may only mean that
+    /// leases expired.
     void mark_store_unreachable() { this->store_reachable = false; }
 
-    /// A replica has said itself that it is leaving, or that another one has
-    /// its address. Holds for this life of the replica.
+    /// Stops using a replica that announced that it is shutting down, or whose
+    /// address now belongs to another one. Holds until the replica restarts.
     void mark_leaving(const replica_id& id);
 
-    /// Drops entries whose grace period has ended.
+    /// Removes missing entries once the grace period has ended.
     ///
-    /// \returns The replicas that are gone.
+    /// \returns The removed replicas.
     std::vector<replica_id> expire(time_point now);
 
-    /// \returns Replicas of a service that may get new requests.
+    /// \returns The replicas of a service that may get new requests.
     std::vector<const replica_entry*> usable(const service_name& name) const;
 
-    /// \returns The replica if it may get new requests, otherwise null.
+    /// \returns The replica if it may get new requests, otherwise nullptr.
     const replica_entry* find_usable(const replica_id& id) const;
 
     /// \returns All entries, usable or not.
@@ -59,7 +61,7 @@
         return this->entries;
     }
 
-    /// \returns Changes with every change of the entries.
+    /// \returns A counter that increases with every change of the entries.
     std::uint64_t generation() const { return this->change_count; }
 
 private:
@@ -67,8 +69,8 @@
 
     std::map<replica_id, replica_entry> entries;
     std::set<replica_id> leaving;
-    /// Entries that are missing after an outage, and until when they may
-    /// come back.
+    /// Entries that went missing during or after an outage, and until when
+    /// they may be restored.
     std::map<replica_id, time_point> missing_until;
     time_point grace_end = time_point::min();
     bool store_reachable = true;
--- a/src/routing/request_kind.hpp
+++ b/src/routing/request_kind.hpp
@@ -3,21 +3,20 @@
 namespace parsleytrack::routing
 {
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be executed.
 enum class request_kind
 {
     /// Idempotent; may run more than once.
     idempotent,
     /// May run at most once for each attempt of the caller.
     at_most_once,
-    /// Answered with a stream of events.
+    /// The response is a stream of events.
     streaming,
     /// Submissions of batch jobs.
     batch
 };
 
-/// \param kind Any kind.
-/// \returns The name as it stands in logs and metric labels.
+/// \returns The name used in logs and metric labels.
 constexpr const char* to_string(request_kind kind)
 {
     switch (kind)
--- a/src/routing/route.hpp
+++ b/src/routing/route.hpp
@@ -11,15 +11,15 @@
 namespace parsleytrack::routing
 {
 
-/// One of the services that a route's requests are spread over.
+/// One of the services among which a route's requests are distributed.
 struct weighted_service
 {
     service_name service;
-    /// Share of the requests, relative to the other services of the route.
+    /// Weight relative to the other services of the route.
     int weight = 1;
 };
 
-/// Where the requests of one host and path prefix go, and their bounds.
+/// Target services and limits for the requests of one host and path prefix.
 struct route
 {
     std::string name;
@@ -28,24 +28,24 @@
     std::string prefix;
     request_kind kind = request_kind::at_most_once;
     std::vector<weighted_service> services;
-    /// Most replicas that one attempt of a caller may be sent to.
+    /// Maximum number of replicas to which one attempt of a caller may be sent.
     int max_attempts = 1;
-    /// Longest time that a caller is kept waiting; zero for "no limit".
+    /// Maximum time that a caller waits for the response; zero for no limit.
     duration timeout = duration::zero();
-    /// Time within which an answer, or the first event of a stream, is due.
+    /// Time within which a response, or the first event of a stream, is due.
     duration target_latency = duration::zero();
     /// 0 is the most urgent.
     int priority = 0;
-    /// Whether a stream may go on at another replica.
+    /// Whether a stream may be resumed on another replica.
     bool resumable = false;
     /// Batch: how long after its submission a job's results are due.
     duration run_target = duration::zero();
-    /// Batch: how long after its submission an item may be given up.
+    /// Batch: how long after its submission an item may be abandoned.
     duration retention = duration::zero();
-    /// Batch: tokens of unfinished items over all jobs; 0 for "no limit".
+    /// Batch: maximum tokens of unfinished items of all jobs; 0 for no limit.
     token_count waiting_tokens_limit;
 
-    /// \returns Whether a request may be sent again after it may have run.
+    /// \returns Whether a request may be retried after it may have run.
     bool is_repeatable() const
     {
         return this->kind == request_kind::idempotent ||
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -10,20 +10,21 @@
 namespace parsleytrack::routing
 {
 
-/// Finds routes of one version of the configuration. Cheap to look up with
-/// many routes: the longest prefix of a path is found by its slashes.
+/// Looks up the routes of one version of the configuration. A lookup stays
+/// cheap with many routes, since it only tries the prefixes of the path that
+/// end at a slash.
 class route_table
 {
 public:
     explicit route_table(configuration contents);
 
-    /// \param host Name that the caller asked for, with or without a port.
+    /// \param host Requested host name, with or without a port.
     /// \param path Path without the query.
-    /// \returns The route with the longest matching prefix; null when none
+    /// \returns The route with the longest matching prefix; nullptr when none
     /// matches.
     const route* find(std::string_view host, std::string_view path) const;
 
-    /// \returns The route of that name, or null.
+    /// \returns The route of that name, or nullptr.
     const route* find_by_name(const std::string& name) const;
 
     const configuration& contents() const { return this->current; }
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -11,14 +11,14 @@
 struct service
 {
     service_name name;
-    /// Path of the status check.
+    /// Path of the health check.
     std::string health_path;
-    /// Connections that one replica accepts from all callers together.
+    /// Total number of connections that one replica accepts.
     int max_connections = 0;
     /// Whether its replicas are model engines.
     bool is_engine = false;
-    /// Requests that one replica runs at the same time; 0 when the
-    /// configuration does not say.
+    /// Number of requests that one replica runs concurrently; 0 when the
+    /// configuration does not set it.
     int slots = 0;
 };
 
--- a/src/slots/broker_selector.cpp
+++ b/src/slots/broker_selector.cpp
@@ -15,8 +15,8 @@
 
 bool broker_selector::mark_unresponsive(const node_id& node, time_point now)
 {
-    // Orders that were sent before it was found silent must not put off the
-    // next attempt.
+    // Several requests may be pending when a node becomes unresponsive; their
+    // failures must not extend the exclusion.
     const auto known = this->excluded_until.find(node);
     if (known != this->excluded_until.end() && now < known->second)
     {
--- a/src/slots/broker_selector.hpp
+++ b/src/slots/broker_selector.hpp
@@ -11,26 +11,27 @@
 namespace parsleytrack::slots
 {
 
-/// Chooses the broker of each pool among the living nodes, so that all nodes
-/// with the same view choose the same one. A node that did not answer is left
-/// out for a while.
+/// Selects the broker of each pool among the live nodes by rendezvous hashing,
+/// so that all nodes with the same view select the same one. A node that did
+/// not respond is excluded for a fixed time.
 class broker_selector
 {
 public:
-    /// \param exclusion How long a silent node is left out.
+    /// \param exclusion How long an unresponsive node is excluded.
     explicit broker_selector(duration exclusion);
 
-    /// A node did not answer.
+    /// Excludes a node that did not respond.
     ///
-    /// \returns Whether it is left out from now on; not so when it was before.
+    /// \returns Whether the exclusion starts now; false when the node was
+    /// excluded already.
     bool mark_unresponsive(const node_id& node, time_point now);
 
-    /// The living nodes have changed.
+    /// Discards all choices; to be called when the live nodes have changed.
     void clear_choices() { this->choices.clear(); }
 
     /// \param pool The pool's name.
-    /// \param own This node, which is chosen when no other can be.
-    /// \param live_nodes All living nodes.
+    /// \param own This node, the fallback when no live node can be chosen.
+    /// \param live_nodes All live nodes.
     /// \returns The broker; valid until the next call.
     const node_info& choose(const std::string& pool, const node_info& own,
                             const std::vector<node_info>& live_nodes,
@@ -40,7 +41,7 @@
     struct choice
     {
         node_info broker;
-        /// When a node that was left out is to be looked at again.
+        /// When the first of the excluded nodes becomes eligible again.
         time_point valid_until;
     };
 
--- a/src/slots/pool_selector.hpp
+++ b/src/slots/pool_selector.hpp
@@ -8,31 +8,30 @@
 namespace parsleytrack::slots
 {
 
-/// Chooses between the pools of a service by what their brokers last said of
-/// the room in them.
+/// Selects among the pools of a service by the spare slots that their brokers
+/// last reported.
 class pool_selector
 {
 public:
-    /// \param count The number of pools.
     void set_pool_count(int count) { this->pool_count = count; }
 
-    /// \returns The pool for a new order: of two drawn at random, the one with
-    /// more room.
+    /// \returns The pool for a new request: of two drawn at random, the one
+    /// with more spare slots.
     int choose(random_source& random);
 
-    /// A broker has said how many slots of its pool are free, less the orders
-    /// that wait.
+    /// \param spare Free slots of the pool minus the requests that wait, as
+    /// reported by its broker.
     void record_spare(int pool, int spare)
     {
         this->spare_by_pool[pool] = spare;
     }
 
-    /// \param current The pool in which an order waits.
-    /// \returns The pool to which the order is to be moved; absent when it is
-    /// to stay.
+    /// \param current The pool in which a request waits.
+    /// \returns The pool to which the request should move; absent when it
+    /// should stay.
     std::optional<int> find_better_pool(int current) const;
 
-    /// \returns What is known of the room in a pool; 0 when nothing is.
+    /// \returns The recorded spare of a pool; 0 when none is recorded.
     int known_spare(int pool) const;
 
 private:
--- a/src/slots/slot_broker.cpp
+++ b/src/slots/slot_broker.cpp
@@ -206,7 +206,7 @@
             candidates.emplace_back(slot.request.useful_until, ticket);
         }
     }
-    // Work that is due last loses least by waiting.
+    // Reclaim from the work that is due last, as a delay affects it least.
     std::sort(candidates.rbegin(), candidates.rend());
     candidates.resize(
         std::min(candidates.size(), static_cast<std::size_t>(wanted)));
--- a/src/slots/slot_broker.hpp
+++ b/src/slots/slot_broker.hpp
@@ -14,44 +14,45 @@
 namespace parsleytrack::slots
 {
 
-/// Gives out the slots of all replicas of one service, so that the number of
-/// requests at each replica is known before one is sent. Online requests come
-/// before batch work, which fills the slots that are left and gives them back
-/// on demand. Requests that cannot get a slot in time are refused at once.
+/// Grants the slots of the replicas of one pool, so that the number of requests
+/// at each replica is known before one is sent. Online requests have priority
+/// over batch work, which fills the remaining slots and returns them when they
+/// are reclaimed. Requests that cannot get a slot in time are refused at once.
 class slot_broker
 {
 public:
     explicit slot_broker(const slot_broker_options& broker_options = {});
 
-    /// Replaces the replicas whose slots are given out.
+    /// Replaces the replicas whose slots are granted.
     void set_replicas(const std::vector<slot_replica>& usable, time_point now);
 
-    /// Asks for a slot; take_commands() says what becomes of it.
+    /// Requests a slot; take_commands() returns the decisions on it.
     void request(slot_ticket ticket, const slot_request& wanted,
                  time_point now);
 
-    /// Takes over a slot that another broker had granted.
+    /// Registers a slot in use that another broker granted.
     void adopt(slot_ticket ticket, const slot_request& wanted,
                const replica_id& replica, time_point now);
 
-    /// The slot is given back, or no longer asked for.
+    /// Returns a granted slot, or withdraws a request that waits.
     void release(slot_ticket ticket, time_point now);
 
-    /// A request to the replica has failed, or has been answered.
+    /// Record the outcome of a request to the replica.
     void report_failure(const replica_id& replica, time_point now);
     void report_success(const replica_id& replica);
 
-    /// Refuses what has become late, and grants what has become free.
+    /// Refuses requests past their deadline and grants slots that are free.
     void tick(time_point now);
 
-    /// \returns What is to be told to holders, in order.
+    /// \returns The decisions since the last call, in order, for the holders
+    /// of the tickets.
     std::vector<slot_command> take_commands();
 
     int total_slots() const;
     int used_slots() const { return static_cast<int>(this->held.size()); }
     int used_by_batch() const { return this->batch_held; }
 
-    /// \returns Slots of usable replicas that nothing holds.
+    /// \returns Slots of usable replicas that are not held.
     int free_slots(time_point now) const;
 
     /// \returns How long online requests hold a slot on average.
@@ -60,8 +61,8 @@
     std::size_t waiting_online() const { return this->online.size(); }
     std::size_t waiting_batch() const { return this->batch.size(); }
 
-    /// \returns Free slots less the requests that wait; below zero when the
-    /// broker is short of slots.
+    /// \returns Free slots minus the requests that wait; negative when there
+    /// are too few slots.
     int spare(time_point now) const;
 
 private:
@@ -112,8 +113,9 @@
     slot_broker_options options;
     std::map<replica_id, replica_state> replicas;
     std::map<slot_ticket, held_slot> held;
-    /// How many of them are held by batch work, and reclaimed.
+    /// Slots held by batch work.
     int batch_held = 0;
+    /// Reclaimed slots that have not been returned yet.
     int pending_reclaims = 0;
     queue online;
     queue batch;
--- a/src/slots/slot_command.hpp
+++ b/src/slots/slot_command.hpp
@@ -11,22 +11,22 @@
 {
     /// The slot may be used.
     granted,
-    /// There will be none in time.
+    /// No slot is expected to be free in time.
     refused,
-    /// The holder is to give the slot back at once.
+    /// The holder must return the slot at once.
     reclaimed
 };
 
-/// What the broker tells the holder of a ticket.
+/// A decision of the broker for the holder of a ticket.
 struct slot_command
 {
     slot_ticket ticket;
     slot_decision decision = slot_decision::refused;
-    /// Granted: where to.
+    /// Granted: the replica whose slot it is.
     replica_id replica;
     /// Refused: when a slot is expected to be free.
     duration retry_after = duration::zero();
-    /// What the decision rests on, for the log.
+    /// Slots and requests at the time of the decision.
     int free_slots = 0;
     int waiting = 0;
 };
--- a/src/slots/slot_request.hpp
+++ b/src/slots/slot_request.hpp
@@ -9,20 +9,21 @@
 namespace parsleytrack::slots
 {
 
-/// What is asked of the broker.
+/// A request for one slot.
 struct slot_request
 {
     work_class kind = work_class::online;
     /// 0 is the most urgent.
     int priority = 0;
-    /// Online: after this the answer would be late. Batch: when it is due.
+    /// Online: deadline for the grant; after it the response would be late.
+    /// Batch: when the work is due.
     time_point useful_until;
-    /// Whether it is worth waiting for a slot beyond useful_until; such a
-    /// request comes after those that can still be on time.
+    /// Whether to keep waiting for a slot after useful_until; such a request is
+    /// served after those that can still be on time.
     bool wait_when_late = false;
     /// Replicas in this zone are preferred.
     availability_zone_name availability_zone;
-    /// Replicas that have failed the request before.
+    /// Replicas on which this request has failed before.
     std::set<replica_id> excluded;
 };
 
--- a/src/slots/slot_ticket.hpp
+++ b/src/slots/slot_ticket.hpp
@@ -5,7 +5,7 @@
 namespace parsleytrack::slots
 {
 
-/// Names one request for a slot, from asking to giving back.
+/// Identifies a slot request until it is refused or its slot is returned.
 using slot_ticket = strong_number<struct slot_ticket_tag>;
 
 } // namespace parsleytrack::slots
