--- a/src/relay/pool_state.hpp
+++ b/src/relay/pool_state.hpp
@@ -7,17 +7,17 @@
 namespace parsleytrack::relay
 {
 
-/// The slots of one pool as its broker sees them.
+/// Slot usage of one pool, as known to its broker.
 struct pool_state
 {
     std::string name;
-    /// All slots, and those of usable replicas that nothing holds.
+    /// All slots, and those of usable replicas that are not held.
     int slots = 0;
     int free = 0;
-    /// Slots that are held.
+    /// Slots held by online requests and by batch work.
     int online = 0;
     int batch = 0;
-    /// Orders that wait.
+    /// Requests that wait for a slot.
     int waiting_online = 0;
     int waiting_batch = 0;
     /// How long online requests hold a slot on average.
--- a/src/relay/slot_client.cpp
+++ b/src/relay/slot_client.cpp
@@ -15,12 +15,12 @@
 namespace
 {
 
-/// A broker answers each order at once; several times the slowest way there
-/// and back between availability zones, beside other work on both nodes.
+/// A broker responds to each request at once. This is several times the slowest
+/// round trip between availability zones, as both nodes do other work as well.
 constexpr duration broker_response_timeout = std::chrono::milliseconds(80);
-/// How long a broker that did not answer is not asked.
+/// How long a broker that did not respond is excluded.
 constexpr duration unresponsive_broker_exclusion = std::chrono::seconds(1);
-/// How long an order waits in one pool before another one is looked at.
+/// How long a request waits in one pool before others are considered.
 constexpr duration rebalance_interval = std::chrono::milliseconds(300);
 constexpr duration report_timeout = std::chrono::milliseconds(500);
 constexpr duration retry_after_without_replica = std::chrono::seconds(1);
@@ -195,7 +195,7 @@
     state.response_timer.cancel();
     this->pools_of(state.request.pool.service)
         .selector.record_spare(state.request.pool.index, response.spare);
-    // Callbacks may destroy the lease and with it this order.
+    // Callbacks may destroy the lease and with it this request.
     const callbacks handlers = state.handlers;
     switch (response.status)
     {
@@ -239,12 +239,12 @@
                    {"reason", reason},
                    {"request", state.request.request.str()}});
     }
-    // The call may be the one whose callback runs.
+    // This may run in a callback of the call, so destroy the call later.
     this->context.loop.free_later(std::move(state.call));
     state.response_timer.cancel();
     if (state.granted)
     {
-        // The next broker learns of the slot in use.
+        // Register the slot in use with the next broker.
         this->open(number);
         return;
     }
@@ -263,7 +263,8 @@
         {
             continue;
         }
-        // Some jitter, so that nodes without a broker do not all choose alike.
+        // Jitter keeps nodes without a broker from all choosing the same
+        // replica.
         std::uniform_real_distribution<double> jitter(0.0, 1.0);
         const auto known = this->in_flight.find(entry->id);
         const int used = known == this->in_flight.end() ? 0 : known->second;
@@ -310,7 +311,7 @@
 
 void slot_client::rebalance()
 {
-    // A broker that is no longer left out learns of the slots in use.
+    // Register the slots in use with a broker that is no longer excluded.
     this->move_requests();
     std::vector<std::pair<std::uint64_t, int>> moved;
     const time_point now = net::event_loop::now();
--- a/src/relay/slot_client.hpp
+++ b/src/relay/slot_client.hpp
@@ -18,8 +18,8 @@
 
 class slot_client;
 
-/// An order for a slot, and the slot once it is granted. Destroying it gives
-/// the slot back.
+/// A slot request, and the slot once it is granted. The destructor withdraws
+/// the request or returns the slot.
 class slot_lease
 {
 public:
@@ -36,9 +36,9 @@
     std::uint64_t number;
 };
 
-/// Gets slots for the requests of this node from the brokers of each service,
-/// which are some of the living nodes. When the broker does not answer, a
-/// replica is chosen from what this node knows itself.
+/// Obtains slots for the requests of this node from the brokers of each
+/// service, which run on some of the live nodes. When a broker does not
+/// respond, a replica is chosen from this node's own data.
 class slot_client
 {
 public:
@@ -46,28 +46,29 @@
     {
         /// The slot may be used.
         std::function<void(const replica_id& replica)> on_granted;
-        /// There will be none in time.
+        /// No slot is expected to be free in time.
         std::function<void(duration retry_after)> on_refused;
-        /// The slot is to be given back at once. Optional.
+        /// The slot must be returned at once. Optional.
         std::function<void()> on_reclaimed;
     };
 
     /// \param node Outlives this object.
-    /// \param local_server Serves orders for which this node is the broker.
+    /// \param local_server Serves requests for which this node is the broker.
     slot_client(const relay_context& node, slot_server& local_server);
 
-    /// Orders a slot. No callback is called before request_slot() has returned.
+    /// Requests a slot. No callback is called before request_slot() returns.
     [[nodiscard]] std::unique_ptr<slot_lease>
     request_slot(const slot_request& wanted, callbacks handlers);
 
-    /// Draws the conclusions of a request that ended without a usable answer:
-    /// tells the broker, and holds the replica to leave if it said so.
+    /// Handles a request that ended without a usable response: reports it to
+    /// the broker, and marks the replica as leaving if it was the wrong one.
+    /// Does nothing for replica_verdict::not_run.
     ///
-    /// \param verdict What became of the request at the replica.
+    /// \param verdict The outcome of the request at the replica.
     void report_failure(const request_id& request, const service_name& service,
                         const replica_id& replica, attempt_outcome verdict);
 
-    /// Called by leases only.
+    /// Withdraws a request or returns its slot; called by leases only.
     void release(std::uint64_t number);
 
 private:
@@ -79,7 +80,7 @@
         /// Set when this node is the broker.
         std::optional<slots::slot_ticket> ticket;
         std::unique_ptr<wire::peer_call> call;
-        /// Ends the wait for a sign of life of the broker.
+        /// Ends the wait for the first response of the broker.
         net::timer response_timer;
         bool granted = false;
         time_point opened;
@@ -87,13 +88,13 @@
 
     struct service_pools
     {
-        /// The state of the list of replicas for which the count holds.
+        /// Generation of the replica registry for which the count is valid.
         std::uint64_t generation = 0;
         int count = 1;
         slots::pool_selector selector;
     };
 
-    /// Tells the broker that a request has failed at its replica.
+    /// Notifies the broker that a request has failed on its replica.
     void report(const replica_report& report);
     service_pools& pools_of(const service_name& service);
     const node_info& broker_of(const slot_pool& pool);
--- a/src/relay/slot_codec.hpp
+++ b/src/relay/slot_codec.hpp
@@ -11,8 +11,8 @@
 namespace parsleytrack::relay
 {
 
-/// Bytes of messages between holders and brokers. Reading gives
-/// error_code::corrupt_data for what cannot be read.
+/// Encoding of the messages between slot clients and brokers. Decoding fails
+/// with error_code::corrupt_data for malformed bytes.
 std::string encode(const slot_request& request);
 result<slot_request> decode_slot_request(std::string_view bytes);
 
--- a/src/relay/slot_pool.hpp
+++ b/src/relay/slot_pool.hpp
@@ -7,7 +7,7 @@
 namespace parsleytrack::relay
 {
 
-/// A part of a service's replicas, whose slots one broker gives out.
+/// A subset of a service's replicas whose slots one broker grants.
 struct slot_pool
 {
     service_name service;
@@ -15,7 +15,7 @@
 
     auto operator<=>(const slot_pool&) const = default;
 
-    /// \returns Its name, by which nodes agree on the broker.
+    /// \returns The pool's name, from which nodes derive its broker.
     std::string name() const
     {
         return this->service.str() + "/" + std::to_string(this->index);
--- a/src/relay/slot_request.hpp
+++ b/src/relay/slot_request.hpp
@@ -10,7 +10,7 @@
 namespace parsleytrack::relay
 {
 
-/// What a request or an item wants of the broker of its service.
+/// A request to a broker for a slot, for an online request or a batch item.
 struct slot_request
 {
     request_id request;
@@ -18,13 +18,15 @@
     work_class kind = work_class::online;
     /// 0 is the most urgent.
     int priority = 0;
-    /// Online: how long an answer can still be on time. Batch: until it is due.
+    /// Online: remaining time in which a slot still lets the response be on
+    /// time. Batch: remaining time until the item is due.
     duration useful_for = duration::zero();
-    /// Whether a slot is wanted even when the answer will be late.
+    /// Whether to keep waiting for a slot when the response will be late.
     bool wait_when_late = false;
     std::set<replica_id> excluded;
     availability_zone_name availability_zone;
-    /// Set when the slot is in use already, granted by another broker.
+    /// Set when the slot is in use already: granted by another broker, or
+    /// chosen without one.
     replica_id held_replica;
 };
 
--- a/src/relay/slot_response.hpp
+++ b/src/relay/slot_response.hpp
@@ -6,25 +6,25 @@
 namespace parsleytrack::relay
 {
 
-/// What a broker tells the holder of an order.
+/// A message from a broker about a slot request.
 struct slot_response
 {
     enum class status_code
     {
-        /// The order waits for a slot; shows that the broker lives.
+        /// The request waits for a slot; shows that the broker is alive.
         queued,
         granted,
         refused,
-        /// The slot is to be given back at once.
+        /// The slot must be returned at once.
         reclaimed
     };
 
     status_code status = status_code::queued;
-    /// Granted: where to.
+    /// Granted: the replica whose slot it is.
     replica_id replica;
-    /// Refused: when asking again may help.
+    /// Refused: delay after which a retry may succeed.
     duration retry_after = duration::zero();
-    /// Slots of the pool that are free, less the orders that wait.
+    /// Free slots of the pool minus the requests that wait.
     int spare = 0;
 };
 
--- a/src/relay/slot_server.cpp
+++ b/src/relay/slot_server.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-/// How late a waiting request may learn that it will not be served in time.
+/// Maximum delay of the refusal of a waiting request after its deadline.
 constexpr duration tick_interval = std::chrono::milliseconds(20);
-/// How often the state of the slots is logged: on-call engineers read it by the
-/// second, and a line a second costs next to nothing.
+/// How often the state of the slots is logged and exported: on-call engineers
+/// need it by the second, and one log line per second costs almost nothing.
 constexpr duration metrics_interval = std::chrono::seconds(1);
 
 } // namespace
@@ -63,7 +63,7 @@
     {
         broker.request(ticket, wanted, now);
     }
-    // Not before the caller knows its ticket.
+    // Deferred until the caller has received its ticket.
     this->context.loop.post(
         [this, pool = request.pool, ticket]
         {
--- a/src/relay/slot_server.hpp
+++ b/src/relay/slot_server.hpp
@@ -16,8 +16,8 @@
 namespace parsleytrack::relay
 {
 
-/// Runs the slot brokers of the pools for which this node is asked, for
-/// requests of this node and of others.
+/// Runs the slot brokers of the pools for which this node receives requests,
+/// from itself and from other nodes.
 class slot_server
 {
 public:
@@ -26,21 +26,21 @@
     /// \param node Outlives this object.
     explicit slot_server(const relay_context& node);
 
-    /// Takes an request.
+    /// Opens a slot request.
     ///
-    /// \param request What is wanted.
-    /// \param callback Gets the answers, never before open() has returned.
-    /// \returns The order's ticket, for close().
+    /// \param callback Receives the responses; never called before open() has
+    /// returned.
+    /// \returns The request's ticket, for close().
     slots::slot_ticket open(const slot_request& request,
                             response_callback callback);
 
-    /// The slot is given back, or no longer wanted.
+    /// Returns a granted slot, or withdraws a request that waits.
     void close(slots::slot_ticket ticket);
 
-    /// A request has failed at its replica.
+    /// Handles the report that a request has failed on its replica.
     void handle_report(const replica_report& report);
 
-    /// \returns The pools for which this node is asked, or was.
+    /// \returns The pools for which this node has received requests.
     std::vector<pool_state> pools() const;
 
 private:
