--- a/tests/routing/replica_registry_test.cpp
+++ b/tests/routing/replica_registry_test.cpp
@@ -50,7 +50,7 @@
     CHECK_EQUAL(0, this->usable());
 }
 
-TEST(replica_registry, a_word_of_leaving_holds_for_one_life)
+TEST(replica_registry, a_leaving_mark_holds_until_the_replica_restarts)
 {
     this->registry.update(entry("a", 1));
     this->registry.mark_leaving(replica_id("a"));
@@ -60,14 +60,14 @@
     CHECK_EQUAL(1, this->usable());
 }
 
-TEST(replica_registry, entries_outlast_an_outage_and_the_time_to_come_back)
+TEST(replica_registry, entries_survive_a_store_outage_and_the_grace_period)
 {
     this->registry.replace_all(listing({entry("a"), entry("b")}), false, now);
     this->registry.mark_store_unreachable();
     this->now += std::chrono::seconds(30);
     CHECK(this->registry.expire(now).empty());
     CHECK_EQUAL(2, this->usable());
-    // Back, with lapsed entries.
+    // The store is back, but the entries have expired.
     this->registry.replace_all({}, true, now);
     CHECK_EQUAL(2, this->usable());
     this->now += std::chrono::seconds(2);
@@ -79,14 +79,14 @@
     CHECK(this->registry.find_usable(replica_id("a")) != nullptr);
 }
 
-TEST(replica_registry, a_listing_in_calm_times_removes_at_once)
+TEST(replica_registry, a_listing_without_an_outage_removes_at_once)
 {
     this->registry.replace_all(listing({entry("a"), entry("b")}), false, now);
     this->registry.replace_all(listing({entry("b")}), false, now);
     CHECK_EQUAL(1, this->usable());
 }
 
-TEST(replica_registry, each_change_shows_in_the_generation)
+TEST(replica_registry, each_change_changes_the_generation)
 {
     const auto before = this->registry.generation();
     this->registry.update(entry("a"));
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -41,7 +41,7 @@
     STRCMP_EQUAL("a/x/", this->found("a", "/x/yy").c_str());
 }
 
-TEST(route_table, a_prefix_ends_at_a_slash)
+TEST(route_table, prefixes_match_whole_path_segments)
 {
     this->contents.routes = {make_route("a", "/x/")};
     STRCMP_EQUAL("none", this->found("a", "/x").c_str());
@@ -49,7 +49,7 @@
     STRCMP_EQUAL("none", this->found("a", "").c_str());
 }
 
-TEST(route_table, hosts_are_kept_apart_and_may_have_a_port)
+TEST(route_table, hosts_are_distinct_and_may_have_a_port)
 {
     this->contents.routes = {make_route("a", "/"), make_route("b", "/x/")};
     STRCMP_EQUAL("a/", this->found("a:8080", "/x/1").c_str());
@@ -57,7 +57,7 @@
     STRCMP_EQUAL("none", this->found("c", "/").c_str());
 }
 
-TEST(route_table, repeatable_routes)
+TEST(route_table, idempotent_and_resumable_routes_are_repeatable)
 {
     route entry = make_route("a", "/");
     entry.kind = request_kind::at_most_once;
--- a/tests/slots/broker_selector_test.cpp
+++ b/tests/slots/broker_selector_test.cpp
@@ -32,7 +32,7 @@
     }
 };
 
-TEST(broker_selector, all_nodes_choose_alike)
+TEST(broker_selector, all_nodes_choose_the_same_broker)
 {
     broker_selector other(std::chrono::seconds(1));
     CHECK(
@@ -41,7 +41,7 @@
             .id);
 }
 
-TEST(broker_selector, a_silent_broker_is_left_out_for_a_while)
+TEST(broker_selector, an_unresponsive_broker_is_excluded_temporarily)
 {
     const node_id first = this->choose();
     CHECK(this->selector.mark_unresponsive(first, this->now));
@@ -52,9 +52,10 @@
     CHECK(this->choose() == first);
 }
 
-TEST(broker_selector, orders_sent_before_do_not_keep_it_out)
+TEST(broker_selector, repeated_reports_do_not_extend_the_exclusion)
 {
-    // Several orders are under way when a broker falls silent; each notes it.
+    // Several requests are pending when a broker becomes unresponsive; each of
+    // them reports it.
     const node_id first = this->choose();
     this->selector.mark_unresponsive(first, this->now);
     for (int request = 0; request < 8; ++request)
@@ -67,7 +68,7 @@
     CHECK(this->choose() == first);
 }
 
-TEST(broker_selector, a_change_of_the_nodes_is_looked_at)
+TEST(broker_selector, the_choice_follows_a_change_of_the_nodes)
 {
     const node_id first = this->choose();
     std::erase_if(this->live_nodes,
@@ -76,7 +77,7 @@
     CHECK(this->choose() != first);
 }
 
-TEST(broker_selector, a_node_alone_asks_itself)
+TEST(broker_selector, a_node_without_live_nodes_chooses_itself)
 {
     this->live_nodes.clear();
     node_info own;
--- a/tests/slots/pool_selector_test.cpp
+++ b/tests/slots/pool_selector_test.cpp
@@ -14,7 +14,7 @@
     pool_selector selector;
 };
 
-TEST(pool_selector, prefers_pools_with_room)
+TEST(pool_selector, prefers_pools_with_spare_slots)
 {
     this->selector.set_pool_count(4);
     this->selector.record_spare(2, 1000);
@@ -23,12 +23,12 @@
     {
         ++chosen.at(static_cast<std::size_t>(this->selector.choose(random)));
     }
-    // One draw in two hits it with either of two tries among four: 7/16.
+    // Two draws among four pools include pool 2 with a probability of 7/16.
     CHECK(chosen[2] > 140);
     CHECK(chosen[0] > 0);
 }
 
-TEST(pool_selector, an_order_leaves_a_pool_that_is_no_more)
+TEST(pool_selector, a_request_leaves_a_pool_that_no_longer_exists)
 {
     this->selector.set_pool_count(4);
     CHECK_FALSE(this->selector.find_better_pool(3).has_value());
@@ -37,7 +37,7 @@
     CHECK(*this->selector.find_better_pool(3) < 3);
 }
 
-TEST(pool_selector, an_order_moves_from_a_full_pool_to_one_with_room)
+TEST(pool_selector, a_request_moves_from_a_full_pool_to_one_with_spare)
 {
     this->selector.set_pool_count(2);
     this->selector.record_spare(0, -5);
@@ -46,7 +46,7 @@
     CHECK_FALSE(this->selector.find_better_pool(1).has_value());
 }
 
-TEST(pool_selector, an_order_stays_when_all_pools_are_full)
+TEST(pool_selector, a_request_stays_when_all_pools_are_full)
 {
     this->selector.set_pool_count(2);
     this->selector.record_spare(0, -5);
@@ -54,7 +54,7 @@
     CHECK_FALSE(this->selector.find_better_pool(0).has_value());
 }
 
-TEST(pool_selector, replicas_are_divided_evenly_and_stay_where_they_are)
+TEST(pool_selector, replicas_are_divided_evenly_and_few_change_pools)
 {
     const int before = pool_count(57);
     CHECK_EQUAL(4, before);
--- a/tests/slots/slot_broker_test.cpp
+++ b/tests/slots/slot_broker_test.cpp
@@ -42,7 +42,7 @@
 
     slot_ticket online()
     {
-        return this->request_slot(work_class::online, useful);
+        return this->request_slot(work_class::online, online_deadline);
     }
     slot_ticket batch()
     {
@@ -78,10 +78,10 @@
                found->second.decision == decision;
     }
 
-    static constexpr duration useful = std::chrono::milliseconds(225);
+    static constexpr duration online_deadline = std::chrono::milliseconds(225);
 };
 
-TEST(slot_broker, never_grants_more_than_the_slots)
+TEST(slot_broker, never_grants_more_slots_than_exist)
 {
     this->set_replicas(2, 3);
     int granted = 0;
@@ -104,7 +104,7 @@
     for (int count = 0; count < 3; ++count)
     {
         slot_request wanted;
-        wanted.useful_until = this->now + useful;
+        wanted.useful_until = this->now + online_deadline;
         wanted.availability_zone = availability_zone_name("a");
         const slot_ticket ticket(this->next_ticket++);
         this->broker.request(ticket, wanted, this->now);
@@ -115,7 +115,7 @@
     CHECK_EQUAL(1, chosen["far"]);
 }
 
-TEST(slot_broker, batch_fills_what_online_leaves_but_for_the_reserve)
+TEST(slot_broker, batch_fills_all_slots_but_the_online_reserve)
 {
     this->set_replicas(4, 8);
     for (int count = 0; count < 40; ++count)
@@ -126,9 +126,9 @@
     CHECK(this->was_decided(this->online(), slot_decision::granted));
 }
 
-// The pattern of the sites: online load comes in steps of seconds and finds
-// the slots taken by batch work.
-TEST(slot_broker, a_burst_gets_slots_back_from_batch_that_is_due_last)
+// Guards against bursts that wait behind batch work: at the sites, online load
+// comes in steps of seconds and finds all slots held by batch work.
+TEST(slot_broker, a_burst_reclaims_the_slot_of_batch_work_due_last)
 {
     this->set_replicas(1, 4);
     const slot_ticket due_first =
@@ -157,7 +157,7 @@
     (void)due_last;
 }
 
-TEST(slot_broker, one_slot_is_reclaimed_for_each_request_that_waits)
+TEST(slot_broker, one_slot_is_reclaimed_for_each_waiting_request)
 {
     this->set_replicas(1, 8);
     for (int count = 0; count < 8; ++count)
@@ -176,12 +176,12 @@
     CHECK_EQUAL(3, reclaimed);
 }
 
-TEST(slot_broker, what_cannot_be_served_in_time_is_refused_at_once)
+TEST(slot_broker, a_request_that_would_be_late_is_refused_at_once)
 {
     this->set_replicas(1, 2);
     this->online();
     this->online();
-    // Each slot is held for some 0.5 s, so the wait is about 0.25 s.
+    // Each slot is held for about 0.5 s, so the wait is about 0.25 s.
     const slot_ticket late = this->online();
     CHECK(this->was_decided(late, slot_decision::refused));
     CHECK(this->last_commands.at(late).retry_after >=
@@ -189,32 +189,32 @@
     CHECK(this->last_commands.at(late).retry_after <= std::chrono::seconds(2));
 }
 
-TEST(slot_broker, callers_back_from_an_outage_do_not_make_new_ones_late)
+TEST(slot_broker, a_backlog_after_an_outage_does_not_delay_new_requests)
 {
-    // After an outage most callers have waited longer than is of use. In order
-    // of arrival they would take all slots, and each new caller would be late
-    // as well, until the herd has passed.
+    // After an outage most waiting requests are past their deadline. Served in
+    // order of arrival they would take all slots, and each new request would
+    // be late as well until the backlog is gone.
     this->set_replicas(2, 4);
     std::vector<slot_ticket> running;
     for (int slot = 0; slot < 8; ++slot)
     {
         running.push_back(this->online());
     }
-    std::vector<slot_ticket> herd;
+    std::vector<slot_ticket> backlog;
     for (int caller = 0; caller < 50; ++caller)
     {
-        herd.push_back(
+        backlog.push_back(
             this->request_slot(work_class::online, duration::zero(), true));
     }
     const slot_ticket fresh =
-        this->request_slot(work_class::online, useful, true);
+        this->request_slot(work_class::online, online_deadline, true);
     this->release(running[0]);
     CHECK(this->was_decided(fresh, slot_decision::granted));
     this->release(running[1]);
-    CHECK(this->was_decided(herd[0], slot_decision::granted));
+    CHECK(this->was_decided(backlog[0], slot_decision::granted));
 }
 
-TEST(slot_broker, a_request_that_has_become_late_is_refused)
+TEST(slot_broker, a_waiting_request_is_refused_after_its_deadline)
 {
     this->set_replicas(1, 8);
     for (int count = 0; count < 8; ++count)
@@ -223,11 +223,11 @@
     }
     const slot_ticket waiting = this->online();
     CHECK_FALSE(this->was_decided(waiting, slot_decision::refused));
-    this->advance(useful + std::chrono::milliseconds(1));
+    this->advance(online_deadline + std::chrono::milliseconds(1));
     CHECK(this->was_decided(waiting, slot_decision::refused));
 }
 
-TEST(slot_broker, a_caller_that_was_refused_before_waits_behind_those_on_time)
+TEST(slot_broker, a_late_retry_waits_behind_requests_on_time)
 {
     this->set_replicas(1, 8);
     std::vector<slot_ticket> running;
@@ -245,7 +245,7 @@
     CHECK(this->was_decided(again, slot_decision::granted));
 }
 
-TEST(slot_broker, a_replica_that_fails_is_left_alone_and_tried_again)
+TEST(slot_broker, a_failing_replica_is_excluded_and_retried)
 {
     this->set_replicas(1, 4);
     const slot_ticket first = this->online();
@@ -254,18 +254,18 @@
     this->release(first);
     CHECK_FALSE(this->was_decided(this->online(), slot_decision::granted));
     this->advance(std::chrono::seconds(1));
-    // One at a time until it has answered.
+    // One request at a time until one succeeds.
     CHECK(this->was_decided(this->online(), slot_decision::granted));
     CHECK_FALSE(this->was_decided(this->online(), slot_decision::granted));
     this->broker.report_success(replica_id("r0"));
     CHECK(this->was_decided(this->online(), slot_decision::granted));
 }
 
-TEST(slot_broker, adopted_slots_count)
+TEST(slot_broker, adopted_slots_count_as_used)
 {
     this->set_replicas(1, 2);
     slot_request wanted;
-    wanted.useful_until = this->now + useful;
+    wanted.useful_until = this->now + online_deadline;
     const slot_ticket adopted(this->next_ticket++);
     this->broker.adopt(adopted, wanted, replica_id("r0"), this->now);
     this->online();
