--- a/src/slots/slot_broker.hpp
+++ b/src/slots/slot_broker.hpp
@@ -37,7 +37,7 @@
     /// Returns a granted slot, or withdraws a request that waits.
     void release(slot_ticket ticket, time_point now);
 
-    /// Record the outcome of a request to the replica.
+    /// Records the outcome of a request to the replica.
     void report_failure(const replica_id& replica, time_point now);
     void report_success(const replica_id& replica);
 
