--- a/src/relay/slot_client.cpp
+++ b/src/relay/slot_client.cpp
@@ -91,13 +91,13 @@
 void slot_client::report_failure(const request_id& request,
                                  const service_name& service,
                                  const replica_id& replica,
-                                 attempt_outcome verdict)
+                                 attempt_outcome outcome)
 {
-    if (verdict == attempt_outcome::not_run)
+    if (outcome == attempt_outcome::not_run)
     {
         return;
     }
-    const bool leaving = verdict == attempt_outcome::wrong_replica;
+    const bool leaving = outcome == attempt_outcome::wrong_replica;
     if (leaving)
     {
         this->context.replicas.mark_leaving(replica, "refused_request");
--- a/src/relay/slot_client.hpp
+++ b/src/relay/slot_client.hpp
@@ -62,11 +62,11 @@
 
     /// Handles a request that ended without a usable response: reports it to
     /// the broker, and marks the replica as leaving if it was the wrong one.
-    /// Does nothing for replica_verdict::not_run.
+    /// Does nothing for attempt_outcome::not_run.
     ///
-    /// \param verdict The outcome of the request at the replica.
+    /// \param outcome The outcome of the request at the replica.
     void report_failure(const request_id& request, const service_name& service,
-                        const replica_id& replica, attempt_outcome verdict);
+                        const replica_id& replica, attempt_outcome outcome);
 
     /// Withdraws a request or returns its slot; called by leases only.
     void release(std::uint64_t number);
