--- a/src/relay/address_request.hpp
+++ b/src/relay/address_request.hpp
@@ -10,7 +10,7 @@
 namespace parsleytrack::relay
 {
 
-/// A caller's question which addresses to use.
+/// A caller's request for the addresses of a host name.
 struct address_request
 {
     std::string host;
@@ -18,11 +18,11 @@
     availability_zone_name availability_zone;
 };
 
-/// The answer to it.
+/// The response to an address_request.
 struct address_response
 {
     std::vector<endpoint> addresses;
-    /// How long the caller may keep the answer.
+    /// How long the caller may cache the addresses.
     duration validity = duration::zero();
 };
 
--- a/src/relay/address_service.cpp
+++ b/src/relay/address_service.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Most addresses that callers take from one answer.
+/// Most addresses that callers use from one response.
 constexpr std::size_t max_addresses = 64;
 
 } // namespace
@@ -33,8 +33,9 @@
     nodes.resize(std::min(nodes.size(), max_addresses));
     if (nodes.empty())
     {
-        refuse(*exchange, error{error_code::no_replica, "no node takes callers",
-                                ran_state::no, std::chrono::seconds(1)});
+        refuse(*exchange,
+               error{error_code::no_replica, "no node accepts callers",
+                     ran_state::no, std::chrono::seconds(1)});
         return;
     }
     address_response response;
--- a/src/relay/address_service.hpp
+++ b/src/relay/address_service.hpp
@@ -9,7 +9,7 @@
 namespace parsleytrack::relay
 {
 
-/// Tells callers which nodes to connect to.
+/// Answers address requests with the nodes to which callers can connect.
 class address_service
 {
 public:
--- a/src/relay/caller_wait_estimator.cpp
+++ b/src/relay/caller_wait_estimator.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/// Callers measure their time left to the millisecond, and may take a while to
-/// connect.
+/// Callers give their remaining time in milliseconds and may take a while to
+/// connect; a smaller difference does not indicate an earlier attempt.
 constexpr duration tolerance = std::chrono::milliseconds(20);
-/// Several times the time that callers commonly have.
+/// Several times the timeout that callers commonly use.
 constexpr duration observation_period = std::chrono::seconds(60);
 
 } // namespace
--- a/src/relay/caller_wait_estimator.hpp
+++ b/src/relay/caller_wait_estimator.hpp
@@ -8,25 +8,26 @@
 namespace parsleytrack::relay
 {
 
-/// Tells from the time that a caller has left how long ago it asked first.
-/// Callers of one route start with the same time; who has less has asked
-/// another node before.
+/// Estimates from a caller's remaining time how long ago it first sent its
+/// request. Callers of one route start with the same time; one with less has
+/// already tried another node.
 class caller_wait_estimator
 {
 public:
     /// \param route The route's name.
-    /// \param remaining_time What the caller says.
-    /// \param now When its request came.
-    /// \returns How long before this request the caller asked first; zero for
-    /// a first request.
+    /// \param remaining_time As stated by the caller.
+    /// \param now When its request arrived.
+    /// \returns Time since the caller's first attempt; zero if this is the
+    /// first.
     duration estimate(const std::string& route, duration remaining_time,
                       time_point now);
 
 private:
     struct route_times
     {
-        /// Longest times left in the current period and in the one before, so
-        /// that a caller with more time than all others is forgotten.
+        /// Longest remaining times in the current period and the one before.
+        /// Older ones are dropped, so that a caller with an unusually long time
+        /// affects the estimates only briefly.
         duration current = duration::zero();
         duration previous = duration::zero();
         time_point period_end;
--- a/src/relay/configuration_follower.hpp
+++ b/src/relay/configuration_follower.hpp
@@ -11,8 +11,8 @@
 namespace parsleytrack::relay
 {
 
-/// Keeps the newest configuration. Within the life of the process the version
-/// only grows.
+/// Keeps the newest configuration from the platform's store. Its version never
+/// decreases while the process runs.
 class configuration_follower
 {
 public:
@@ -23,7 +23,7 @@
 
     void start() { this->follower.start(); }
 
-    /// \returns The routes in force; null before the first configuration.
+    /// \returns The current routes; null before the first configuration.
     std::shared_ptr<const routing::route_table> current() const
     {
         return this->table;
--- a/src/relay/event_splitter.cpp
+++ b/src/relay/event_splitter.cpp
@@ -66,7 +66,7 @@
 
 std::vector<stream_event> event_splitter::feed(std::string_view chunk)
 {
-    // The end of an event may be split between two pieces.
+    // The blank line that ends an event may be split between two chunks.
     const std::size_t search_from =
         this->pending.empty() ? 0 : this->pending.size() - 1;
     this->pending += chunk;
--- a/src/relay/event_splitter.hpp
+++ b/src/relay/event_splitter.hpp
@@ -10,28 +10,28 @@
 namespace parsleytrack::relay
 {
 
-/// Cuts a streamed answer into whole events.
+/// Splits a streamed response into complete events.
 class event_splitter
 {
 public:
-    /// Largest event that is taken; a longer one shows a faulty replica.
+    /// Largest event that is accepted; a longer one indicates a faulty replica.
     static constexpr std::size_t max_event_bytes = 1024 * 1024;
 
-    /// \param piece What follows what was fed before.
-    /// \returns The events that are complete now.
+    /// \param chunk The next bytes of the stream.
+    /// \returns The events that this chunk completes.
     std::vector<stream_event> feed(std::string_view chunk);
 
-    /// The same, without the events that came before.
+    /// Like feed(), but drops numbered events that were received before.
     ///
-    /// \param last_event Number of the last event that is known; goes up with
-    /// those that are returned.
+    /// \param last_event Number of the last event received; raised to the
+    /// highest number returned.
     std::vector<stream_event> feed_new(std::string_view chunk,
                                        std::int64_t& last_event);
 
-    /// \returns Whether part of an event has been fed without its end.
+    /// \returns Whether an incomplete event is buffered.
     bool has_partial_event() const { return !this->pending.empty(); }
 
-    /// \returns Whether the partial event has become too long.
+    /// \returns Whether the incomplete event exceeds max_event_bytes.
     bool is_too_long() const { return this->pending.size() > max_event_bytes; }
 
 private:
--- a/src/relay/header_names.hpp
+++ b/src/relay/header_names.hpp
@@ -5,23 +5,23 @@
 namespace parsleytrack::relay
 {
 
-/// Names of the header fields by which callers, nodes and replicas tell one
-/// another about a request. The adapter sets them.
+/// Names of the header fields with which callers, nodes and replicas describe a
+/// request to each other. Set by the adapter.
 struct header_names
 {
-    /// The caller's name for the request; unique for each of its attempts.
+    /// The caller's id for the request, different for each attempt.
     std::string request_id;
-    /// How many milliseconds the caller, or the sender, will still wait.
+    /// Milliseconds that the caller, or the sender, will still wait.
     std::string remaining_time_ms;
-    /// The replica that the request is meant for.
+    /// Id of the replica to which the request is addressed.
     std::string expected_replica;
-    /// The last event that has been received of a resumed stream.
+    /// Number of the last event received of a stream that is resumed.
     std::string resume_after;
-    /// How many milliseconds a read of results may be kept waiting.
+    /// Longest time in milliseconds that a read may wait for results.
     std::string wait_ms;
-    /// In an answer: the replica did not run the request.
+    /// In a response: the replica did not run the request.
     std::string not_executed;
-    /// In an answer: the replica's proof that the answer is its own.
+    /// In a response: the replica's proof that the response is its own.
     std::string digest;
 };
 
--- a/src/relay/hop_headers.cpp
+++ b/src/relay/hop_headers.cpp
@@ -25,7 +25,7 @@
     "Content-Length",
     "Expect"};
 
-/// \returns Whether a Connection field names the field as one of its own.
+/// \returns Whether the Connection field lists the field as hop-by-hop.
 bool is_listed_in_connection(const std::string* connection,
                              const std::string& field)
 {
--- a/src/relay/hop_headers.hpp
+++ b/src/relay/hop_headers.hpp
@@ -5,9 +5,9 @@
 namespace parsleytrack::relay
 {
 
-/// \param headers The fields of a message.
-/// \returns Those that go beyond one connection, and say nothing about how the
-/// body is framed.
+/// \param headers The header fields of a message.
+/// \returns The end-to-end fields: without hop-by-hop fields and those that
+/// describe the framing of the body.
 net::http_header_list end_to_end_headers(const net::http_header_list& headers);
 
 } // namespace parsleytrack::relay
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -15,19 +15,20 @@
 namespace
 {
 
-/// Share of the target latency that is kept for the replica's own work when
-/// it is judged whether an answer can still be on time.
+/// The target latency divided by this is reserved for the replica's own work
+/// when judging whether a response can still be on time.
 constexpr int replica_time_divisor = 4;
-/// A replica that gives no sign for so long is held to be silent, if another
-/// one may take over. Twice the longest pause between events that is on time.
+/// A replica that sends nothing for this long counts as unresponsive if the
+/// request may be retried on another one. Twice the longest pause between
+/// events that still counts as on time.
 constexpr duration unresponsive_timeout = std::chrono::milliseconds(600);
-/// Most replicas that are tried for one request, the ones that did not run it
-/// included.
+/// Most replicas tried for one request, including those that did not run it.
 constexpr int max_sends = 5;
-/// Most of a stream that waits for a slow caller. A caller that keeps up has
-/// a few events waiting; a node has memory for dozens of such callers.
+/// Most bytes of a stream that are buffered for a slow caller. A caller that
+/// keeps up has a few events buffered; a node has memory for dozens of slow
+/// callers.
 constexpr std::size_t max_unread_bytes = 256 * 1024;
-/// Longest body of a failure that is passed on.
+/// Longest body of an error response that is passed on to the caller.
 constexpr std::size_t max_error_body_bytes = 1024 * 1024;
 constexpr duration retry_after_refused = std::chrono::milliseconds(300);
 constexpr int first_error_status = 500;
@@ -92,7 +93,7 @@
                 [this](duration retry_after)
                 {
                     this->fail(error{error_code::shutting_down,
-                                     "no replica has a free slot in time",
+                                     "no replica will have a free slot in time",
                                      ran_state::no, retry_after});
                 },
                 {}});
@@ -114,7 +115,7 @@
     if (entry == nullptr)
     {
         this->excluded.insert(granted);
-        this->send_again("the replica has left");
+        this->send_again("the replica is no longer usable");
         return;
     }
     this->replica = granted;
@@ -175,7 +176,7 @@
         this->collected_body += chunk;
         if (this->collected_body.size() > max_error_body_bytes)
         {
-            this->attempt->abort("the text of the failure is too long");
+            this->attempt->abort("the body of the error response is too long");
         }
         return;
     }
@@ -187,7 +188,7 @@
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->abort("an event has no end");
+        this->attempt->abort("an event exceeds the size limit");
         return;
     }
     if (ready.empty())
@@ -206,7 +207,7 @@
     if (this->exchange->pending_output_bytes() > max_unread_bytes)
     {
         this->fail(error{error_code::deadline_exceeded,
-                         "the caller does not read the answer",
+                         "the caller does not read the response",
                          ran_state::unknown,
                          {}});
     }
@@ -229,7 +230,7 @@
     }
     this->slots.report_failure(this->request.id, this->service, this->replica,
                                outcome);
-    this->send_again(answered ? "the answer is not whole" : reason);
+    this->send_again(answered ? "the response is incomplete" : reason);
 }
 
 bool online_call::handle_response(net::http_response response)
@@ -248,7 +249,7 @@
     if (this->request.route->kind == routing::request_kind::streaming &&
         is_success(status))
     {
-        // A stream without a single event.
+        // The stream ended without a single event.
         return false;
     }
     const std::string& body =
@@ -275,7 +276,7 @@
 void online_call::send_again(const std::string& reason)
 {
     this->excluded.insert(this->replica);
-    // The exchange with the replica may be the one whose callback runs.
+    // Freed later, since this may run inside a callback of the exchange.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     if (!this->may_send_again())
@@ -283,8 +284,8 @@
         const bool ran = this->runs > 0;
         this->fail(error{
             ran ? error_code::backend_failed : error_code::no_replica,
-            "the replica " + this->replica.str() +
-                " has not answered: " + reason,
+            "replica " + this->replica.str() +
+                " did not complete the request: " + reason,
             ran ? ran_state::unknown : ran_state::no, retry_after_refused});
         return;
     }
@@ -324,13 +325,13 @@
 {
     if (this->attempt)
     {
-        // The replica may be at work.
+        // The replica may be running the request.
         ++this->runs;
     }
     const bool ran = this->runs > 0;
     this->fail(
         error{ran ? error_code::deadline_exceeded : error_code::no_replica,
-              "the time for the request is over",
+              "the deadline of the request has passed",
               ran ? ran_state::unknown : ran_state::no, retry_after_refused});
 }
 
@@ -342,7 +343,8 @@
     }
     this->deadline_timer.cancel();
     this->report_end(outcome, status);
-    // Closes the connection to the replica, outside of its own callback.
+    // Closes the connection to the replica; deferred, since this may run inside
+    // its callback.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     const auto callback = std::move(this->ended_callback);
--- a/src/relay/online_call.hpp
+++ b/src/relay/online_call.hpp
@@ -17,18 +17,18 @@
 namespace parsleytrack::relay
 {
 
-/// One online request from its arrival to the end of its answer: gets a slot,
-/// sends the request, passes the answer on, and sends it again where that is
-/// allowed.
+/// Handles one online request from its arrival to the end of its response:
+/// acquires a slot, sends the request to a replica, passes the response on, and
+/// retries where that is allowed.
 class online_call
 {
 public:
     /// \param node Outlives this object.
     /// \param slot_source Outlives this object.
-    /// \param caller The caller's side.
-    /// \param request What was asked.
-    /// \param on_end Called once, when nothing is left to do; may destroy this
-    /// object after the callback has returned.
+    /// \param caller The exchange with the caller.
+    /// \param request The caller's request, with its body.
+    /// \param on_end Called once, at the end; must not destroy this object
+    /// before it returns.
     online_call(const relay_context& node, slot_client& slot_source,
                 std::shared_ptr<net::http_exchange> caller,
                 online_request request, std::function<void()> on_end);
@@ -70,11 +70,12 @@
     time_point sent_at;
     std::optional<time_point> first_output_at;
 
-    /// Replicas to which the request was sent, and those that may have run it.
+    /// How often the request was sent, and how often it may have been run.
     int sends = 0;
     int runs = 0;
     bool response_started = false;
-    /// Status and body of an answer that is not passed on piece by piece.
+    /// Status of the response, and its body unless it is streamed to the
+    /// caller.
     int collected_status = 0;
     std::string collected_body;
     event_splitter splitter;
--- a/src/relay/online_request.hpp
+++ b/src/relay/online_request.hpp
@@ -10,19 +10,20 @@
 namespace parsleytrack::relay
 {
 
-/// An online request as it was read.
+/// An online request, as received from the caller.
 struct online_request
 {
     request_id id;
-    /// Keeps the route alive, whatever configuration comes next.
+    /// Keeps the route valid when a newer configuration replaces the table.
     std::shared_ptr<const routing::route_table> table;
     const routing::route* route = nullptr;
     std::string body;
     time_point received;
-    /// When the caller, or the route, allows no more time.
+    /// Set by the caller's remaining time or the route's timeout, whichever is
+    /// shorter.
     time_point deadline;
-    /// How long before this request the caller asked first; zero when this is
-    /// its first.
+    /// Estimated time since the caller's first attempt; zero if this is the
+    /// first.
     duration elapsed_before = duration::zero();
 };
 
--- a/src/relay/online_service.hpp
+++ b/src/relay/online_service.hpp
@@ -13,7 +13,7 @@
 namespace parsleytrack::relay
 {
 
-/// Takes online requests and runs them.
+/// Accepts online requests and runs an online_call for each.
 class online_service
 {
 public:
@@ -21,10 +21,10 @@
     /// \param slot_source Outlives this object.
     online_service(const relay_context& node, slot_client& slot_source);
 
-    /// Takes a request whose head is complete.
+    /// Handles a request whose head has been received.
     ///
-    /// \param table The configuration in force.
-    /// \param route The route that the request falls under.
+    /// \param table The current configuration.
+    /// \param route The route that matches the request.
     void handle_request(const std::shared_ptr<net::http_exchange>& exchange,
                         std::shared_ptr<const routing::route_table> table,
                         const routing::route& route);
--- a/src/relay/refusal.hpp
+++ b/src/relay/refusal.hpp
@@ -6,10 +6,10 @@
 namespace parsleytrack::relay
 {
 
-/// Answers with an error. A status that promises "not run" is only used when
-/// that is known; Retry-After is given in seconds with fractions.
+/// Responds with an error. A status that implies that the request was not run
+/// is only sent when that is known; Retry-After is in seconds with fractions.
 ///
-/// \param exchange The request to answer.
+/// \param exchange The request to respond to.
 /// \param reason The error.
 /// \returns The HTTP status that was sent.
 int refuse(net::http_exchange& exchange, const error& reason);
--- a/src/relay/relay_context.hpp
+++ b/src/relay/relay_context.hpp
@@ -15,7 +15,7 @@
 namespace parsleytrack::relay
 {
 
-/// What the modules of a relay node share. It outlives all of them.
+/// Objects shared by the modules of a relay node. Outlives all of them.
 struct relay_context
 {
     const settings::relay_settings& settings;
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -32,10 +32,10 @@
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 constexpr duration retry_after_start = std::chrono::milliseconds(300);
-/// Another node can be asked at once.
+/// The caller can send the request to another node at once.
 constexpr duration retry_after_stop = std::chrono::milliseconds(10);
-/// The store's limits are per second over all nodes; ten seconds show a trend
-/// at little cost.
+/// The store limits calls per second over all nodes; logging every ten seconds
+/// shows a trend at little cost.
 constexpr duration store_calls_interval = std::chrono::seconds(10);
 constexpr duration stop_poll_interval = std::chrono::milliseconds(50);
 
@@ -215,7 +215,7 @@
         this->metrics.count("parsleytrack_requests_total",
                             {{"outcome", "no_route"}, {"kind", "none"}});
         refuse(*exchange, error{error_code::not_found,
-                                "no route begins with " + head.path,
+                                "no route matches " + head.path,
                                 ran_state::no,
                                 {}});
         return;
@@ -242,7 +242,7 @@
     if (!request)
     {
         refuse(*exchange, error{error_code::not_found,
-                                "there is no " + exchange->head().path,
+                                "unknown resource " + exchange->head().path,
                                 ran_state::no,
                                 {}});
         return;
--- a/src/relay/relay_node.hpp
+++ b/src/relay/relay_node.hpp
@@ -10,13 +10,13 @@
 namespace parsleytrack::relay
 {
 
-/// A node that takes callers' requests for routes and replicas that the
-/// platform's store names.
+/// A node that accepts callers' requests and forwards them by the routes and to
+/// the replicas listed in the platform's store.
 class relay_node
 {
 public:
     /// \param node_settings The settings.
-    /// \param settings_path Where they were read, for reloads.
+    /// \param settings_path The file they were read from, for reloads.
     /// \param adapter Outlives this object.
     relay_node(settings::relay_settings node_settings,
                std::string settings_path, const relay_adapter& adapter);
@@ -24,13 +24,13 @@
     relay_node(const relay_node&) = delete;
     relay_node& operator=(const relay_node&) = delete;
 
-    /// Opens the sockets.
+    /// Opens the listening sockets and starts to follow the store.
     ///
-    /// \returns Nothing, or error_code::bad_settings when an address cannot be
+    /// \returns True, or error_code::bad_settings when an address cannot be
     /// used.
     result<bool> start();
 
-    /// Serves until a planned stop has come to its end.
+    /// Serves until a planned stop is complete.
     void run();
 
 private:
--- a/src/relay/replica_exchange.cpp
+++ b/src/relay/replica_exchange.cpp
@@ -144,7 +144,7 @@
         break;
     }
     callback(attempt_outcome::may_have_run, std::move(response.value()),
-             "the answer does not belong to the request");
+             "the response does not belong to the request");
 }
 
 } // namespace parsleytrack::relay
--- a/src/relay/replica_exchange.hpp
+++ b/src/relay/replica_exchange.hpp
@@ -15,43 +15,45 @@
 namespace parsleytrack::relay
 {
 
-/// What became of one request at one replica.
+/// Outcome of sending one request to one replica.
 enum class attempt_outcome
 {
-    /// The whole answer has come.
+    /// The complete response was received.
     answered,
-    /// The replica has not run the request.
+    /// The replica did not run the request.
     not_run,
-    /// The replica is not the one that was meant; it has not run the request.
+    /// The replica is not the one addressed; it did not run the request.
     wrong_replica,
-    /// The connection did not open.
+    /// The connection could not be opened.
     not_sent,
-    /// Nothing, or only part of an answer, has come; it may have run.
+    /// No response that belongs to the request, or only part of one, was
+    /// received; the request may have run.
     may_have_run
 };
 
-/// \param outcome Any verdict.
-/// \returns Its name for logs and metric labels.
+/// \returns The name used in logs and metric labels.
 const char* to_string(attempt_outcome outcome);
 
-/// Sends one request to one replica and makes sure that the answer belongs to
-/// it. Destroying it closes the connection, at which the replica stops work.
+/// Sends one request to one replica and checks that the response belongs to it.
+/// Destroying it closes the connection, which makes the replica stop work on
+/// the request.
 class replica_exchange
 {
 public:
-    /// A connection within a region opens in a few milliseconds; one packet may
-    /// be lost and is sent again after 200 ms.
+    /// A connection within a region opens in a few milliseconds; this allows
+    /// for one lost packet, which is resent after 200 ms.
     static constexpr duration connect_timeout = std::chrono::milliseconds(300);
 
     struct callbacks
     {
-        /// Status and fields of an answer that the replica stands for.
-        /// Optional.
+        /// Gets status and header fields of a response that belongs to the
+        /// request. Optional.
         std::function<void(const net::http_response&)> on_head;
-        /// Pieces of its body. Without it the body is collected.
+        /// Gets its body in chunks. If not set, the body is collected.
         std::function<void(std::string_view)> on_chunk;
-        /// The end. The response is complete with answered, and may have a
-        /// status and fields with not_run; the text says what was seen.
+        /// Called at the end. The response is complete for answered, and may
+        /// have a status and header fields for not_run; reason says what was
+        /// observed.
         std::function<void(attempt_outcome, net::http_response,
                            const std::string& reason)>
             on_end;
@@ -60,21 +62,22 @@
     /// \param client Sends the request; outlives this object.
     /// \param names Names of header fields.
     /// \param replica Where to send it.
-    /// \param request What to send; it gets the expected replica's name.
-    /// \param id The request's id, which the answer has to carry.
-    /// \param hooks Whom to tell; never called before the constructor returns.
+    /// \param request What to send; the header field with the expected
+    /// replica's id is added.
+    /// \param id The request's id, which the response must carry.
+    /// \param hooks Never called before the constructor returns.
     replica_exchange(net::http_client& client, const header_names& names,
                      const routing::replica_entry& replica,
                      net::http_request request, request_id id, callbacks hooks);
 
-    /// Ends the exchange because the answer is of no use; the replica may have
+    /// Ends the exchange because the response is unusable; the replica may have
     /// run the request. Calls on_end, which may destroy this object.
     void abort(const std::string& reason);
 
-    /// \returns Whether the head of the answer has come.
+    /// \returns Whether the head of the response was received.
     bool has_head() const { return this->head_seen; }
 
-    /// \returns The fields of the answer's head.
+    /// \returns The header fields of the response.
     const net::http_header_list& head_fields() const
     {
         return this->head.headers;
@@ -99,7 +102,8 @@
     callbacks hooks;
     response_kind kind = response_kind::none;
     bool head_seen = false;
-    /// Status and fields, for answers whose body is passed on piece by piece.
+    /// Status and header fields, for responses whose body is passed on in
+    /// chunks.
     net::http_response head;
     std::unique_ptr<net::http_call> call;
 };
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -10,8 +10,9 @@
 namespace
 {
 
-/// Replicas change together in a release; a leaving one may get requests for
-/// two seconds after its word, four times this.
+/// Replicas change together in a release, so changes are applied in batches. A
+/// leaving replica may get requests for two seconds after announcing it, four
+/// times this.
 constexpr duration change_batch_window = std::chrono::milliseconds(500);
 constexpr duration expiry_interval = std::chrono::milliseconds(250);
 
--- a/src/relay/replica_follower.hpp
+++ b/src/relay/replica_follower.hpp
@@ -27,9 +27,10 @@
 
     const routing::replica_registry& registry() const { return this->replicas; }
 
-    /// A replica has said that it leaves, or that it is another one.
+    /// Marks a replica as leaving because it said so, or because another
+    /// replica responded at its address.
     ///
-    /// \param reason For the log.
+    /// \param reason How this became known, for the log.
     void mark_leaving(const replica_id& id, const char* reason);
 
     /// \returns How long ago the store last confirmed the list.
--- a/src/relay/replica_report.hpp
+++ b/src/relay/replica_report.hpp
@@ -5,14 +5,14 @@
 namespace parsleytrack::relay
 {
 
-/// What a request has shown of its replica, for the broker of the service.
+/// Tells the broker of the service that a request to a replica failed.
 struct replica_report
 {
     request_id request;
     service_name service;
     replica_id replica;
-    /// The replica says itself that it leaves, or another one answers in its
-    /// place; otherwise it has failed the request.
+    /// The replica said that it is leaving, or another one responded in its
+    /// place; otherwise it failed the request.
     bool leaving = false;
 };
 
--- a/src/relay/replica_request.hpp
+++ b/src/relay/replica_request.hpp
@@ -10,11 +10,13 @@
 namespace parsleytrack::relay
 {
 
-/// \param head What the caller has asked.
+/// \param head The head of the caller's request.
 /// \param names Names of header fields.
-/// \param remaining_time What remains of the caller's time.
-/// \param last_event Number of the last event that the caller has; 0 for none.
-/// \returns The same request for a replica, without its body.
+/// \param remaining_time Time until the caller's deadline; sent as at least 1
+/// ms.
+/// \param last_event Number of the last event that the caller has received; 0
+/// for none.
+/// \returns The request to send to a replica, without its body.
 net::http_request replica_request(const net::http_request_head& head,
                                   const header_names& names,
                                   duration remaining_time,
--- a/src/relay/run.hpp
+++ b/src/relay/run.hpp
@@ -7,10 +7,10 @@
 namespace parsleytrack::relay
 {
 
-/// Runs a node from its settings until it is told to stop.
+/// Loads the settings and runs a node until a signal stops it.
 ///
-/// \param settings_path JSON with comments.
-/// \param adapter What the world outside speaks.
+/// \param settings_path A file of JSON with comments.
+/// \param adapter Translates the platform's messages and records.
 /// \returns The exit code of the process.
 int run_node(const std::string& settings_path, const relay_adapter& adapter);
 
--- a/src/relay/status_report.cpp
+++ b/src/relay/status_report.cpp
@@ -25,12 +25,12 @@
             {"age_ms", to_milliseconds(configuration.age())}};
 }
 
-/// One of the counts of calls to the store.
+/// A counter of calls to the store.
 struct call_count
 {
-    /// Its name in the document.
+    /// Its field name in the status document.
     const char* name;
-    /// Its label among the metrics.
+    /// Its label value in the metrics.
     const char* kind;
     std::uint64_t key_value::call_counts::*value;
 };
--- a/src/relay/status_report.hpp
+++ b/src/relay/status_report.hpp
@@ -10,24 +10,25 @@
 namespace parsleytrack::relay
 {
 
-/// What a node believes and does, for operators.
+/// Reports the state of a node to operators.
 class status_report
 {
 public:
-    /// \param node Outlives this object, as do the others.
+    /// \param node Outlives this object, as do the other parameters.
     status_report(const relay_context& node, const slot_server& local_server,
                   const job_service& local_jobs);
 
-    /// \param stopping Whether a planned stop is under way.
-    /// \returns A JSON document; its fields are on the operators' page.
+    /// \param stopping Whether a planned stop is in progress.
+    /// \returns A JSON document; the operators' page describes its fields.
     std::string json(bool stopping) const;
 
-    /// Brings the gauges of the metrics up to date.
+    /// Sets the gauges of the metrics to their current values.
     ///
-    /// \param open_requests Online requests under way.
+    /// \param open_requests Number of online requests in progress.
     void update_gauges(std::size_t open_requests) const;
 
-    /// Logs the calls to the store so far, and how old its news are.
+    /// Logs the number of calls to the store so far, and the age of the data
+    /// read from it.
     void log_store_calls() const;
 
 private:
--- a/src/relay/stop_schedule.hpp
+++ b/src/relay/stop_schedule.hpp
@@ -7,33 +7,34 @@
 namespace parsleytrack::relay
 {
 
-/// When a node that is told to stop lets go of what: it serves on while
-/// callers may still use its address, then takes nothing new, and ends once
-/// everything is answered.
+/// Phases of a planned stop: the node keeps serving while callers may still use
+/// its address, then accepts no new requests, and exits once all open requests
+/// have ended.
 class stop_schedule
 {
 public:
-    /// What is kept at the end for requests that were taken last: most take
-    /// about a second, streams in a busy fleet up to two.
+    /// Time reserved at the end for the requests accepted last: most take about
+    /// a second, streams in a busy fleet up to two.
     static constexpr duration completion_reserve =
         std::chrono::milliseconds(2500);
-    /// Before the end, so that the node itself closes the last connections.
+    /// The node exits this long before the limit, so that it closes the last
+    /// connections itself.
     static constexpr duration close_margin = std::chrono::milliseconds(400);
-    /// Callers keep an address answer up to three times its validity.
+    /// Callers use an address response for up to three times its validity.
     static constexpr int address_retention_factor = 3;
 
-    /// \param begin When the node was told to stop.
-    /// \param address_validity How long its address answers are valid.
+    /// \param begin When the stop was requested.
+    /// \param address_validity How long the node's address responses are valid.
     /// \param limit How long the stop may take.
     stop_schedule(time_point begin, duration address_validity, duration limit);
 
-    /// \returns Whether a request that arrives now is still taken.
+    /// \returns Whether a request that arrives now is still accepted.
     bool accepts_requests(time_point now) const
     {
         return now < this->accept_until;
     }
 
-    /// \returns Whether the process is to end.
+    /// \returns Whether the process should exit.
     bool is_over(time_point now, std::size_t open_requests) const;
 
 private:
--- a/src/relay/storage_node.hpp
+++ b/src/relay/storage_node.hpp
@@ -11,8 +11,9 @@
 namespace parsleytrack::relay
 {
 
-/// A node with a disk. Everything that must last is kept by the platform's
-/// store, so it holds no data, and says so as soon as it is to be emptied.
+/// A node with a disk. All durable data is in the platform's store, so the node
+/// holds none and reports its retirement as completed as soon as it is
+/// requested.
 class storage_node
 {
 public:
@@ -21,7 +22,7 @@
     storage_node(settings::relay_settings node_settings,
                  const relay_adapter& protocol_adapter);
 
-    /// Runs until it is told to stop.
+    /// Runs until a signal stops it.
     void run();
 
 private:
--- a/src/relay/store_keys.hpp
+++ b/src/relay/store_keys.hpp
@@ -5,17 +5,17 @@
 namespace parsleytrack::relay
 {
 
-/// Where the platform's store keeps what operators and replicas write, and
-/// what operators read. The adapter sets them.
+/// Keys in the platform's store of the records that operators and replicas
+/// write, and that operators read. Set by the adapter.
 struct store_keys
 {
     /// The newest configuration.
     std::string configuration;
-    /// One key for each replica.
+    /// Prefix of the replicas' entries, one for each replica.
     std::string replica_prefix;
-    /// One key for each storage node that is to be emptied.
+    /// Prefix of retirement requests, one for each storage node to be emptied.
     std::string retirement_prefix;
-    /// Where the progress of a retirement is written.
+    /// Prefix of the records that report the progress of a retirement.
     std::string retirement_state_prefix;
 };
 
--- a/src/relay/stream_event.hpp
+++ b/src/relay/stream_event.hpp
@@ -7,12 +7,12 @@
 namespace parsleytrack::relay
 {
 
-/// One event of a streamed answer.
+/// One event of a streamed response.
 struct stream_event
 {
     /// As received, with the blank line that ends it.
     std::string raw;
-    /// Its number within the stream; absent when it has none.
+    /// Its number within the stream, if it has one.
     std::optional<std::int64_t> number;
     /// Its data lines, joined by line feeds.
     std::string data;
--- a/src/relay/usage_tracker.hpp
+++ b/src/relay/usage_tracker.hpp
@@ -10,9 +10,9 @@
 namespace parsleytrack::relay
 {
 
-/// Last known values of the records that count the tokens waiting on each
-/// route. A transaction that changes one is conditional on its revision, so an
-/// outdated value costs a repetition and never an error.
+/// Remembers the last known values of the records that count the tokens waiting
+/// on each route. A transaction that changes one is conditional on its
+/// revision, so an outdated value costs a retry but never causes an error.
 class usage_tracker
 {
 public:
@@ -22,20 +22,20 @@
         store_revision revision;
     };
 
-    /// \returns What is known of the route; zero when nothing is.
+    /// \returns The last known usage of the route; zero when it is unknown.
     usage get(const std::string& route_name) const;
 
-    /// Takes in a record as it was read or returned by a conflict.
+    /// Updates the usage from a record that was read or returned by a conflict.
     void update(const std::string& route_name,
                 const key_value::stored_record& record);
 
-    /// Takes in the route's record from those of a conflict.
+    /// Updates the usage from the route's record among those of a conflict.
     ///
-    /// \returns Whether it was among them.
+    /// \returns Whether the route's record was among them.
     bool update_from(const std::string& route_name,
                      const std::vector<key_value::stored_record>& current);
 
-    /// Takes in a value that was written.
+    /// Records a value that was written.
     void set(const std::string& route_name, usage value);
 
 private:
--- a/tests/relay/caller_wait_estimator_test.cpp
+++ b/tests/relay/caller_wait_estimator_test.cpp
@@ -13,7 +13,7 @@
     time_point now = time_point() + std::chrono::hours(1);
 };
 
-TEST(caller_wait_estimator, a_first_request_has_none)
+TEST(caller_wait_estimator, a_first_attempt_has_not_waited)
 {
     CHECK(this->estimator.estimate("r", milliseconds(5000), this->now) ==
           duration::zero());
@@ -21,7 +21,7 @@
           duration::zero());
 }
 
-TEST(caller_wait_estimator, a_caller_with_less_time_has_asked_before)
+TEST(caller_wait_estimator, less_remaining_time_means_an_earlier_attempt)
 {
     this->estimator.estimate("r", milliseconds(5000), this->now);
     CHECK(this->estimator.estimate("r", milliseconds(3900), this->now) ==
@@ -30,7 +30,7 @@
           duration::zero());
 }
 
-TEST(caller_wait_estimator, one_caller_with_more_time_is_forgotten)
+TEST(caller_wait_estimator, an_unusually_long_time_expires)
 {
     this->estimator.estimate("r", seconds(30), this->now);
     for (int second = 0; second < 130; ++second)
@@ -42,7 +42,7 @@
           duration::zero());
 }
 
-TEST(caller_wait_estimator, a_pause_does_not_forget_at_once)
+TEST(caller_wait_estimator, a_pause_of_one_period_keeps_the_longest_time)
 {
     this->estimator.estimate("r", seconds(5), this->now);
     this->now += seconds(61);
--- a/tests/relay/event_splitter_test.cpp
+++ b/tests/relay/event_splitter_test.cpp
@@ -9,7 +9,7 @@
     event_splitter splitter;
 };
 
-TEST(event_splitter, cuts_at_any_place)
+TEST(event_splitter, splits_events_cut_at_any_byte)
 {
     const std::string text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n"
                              ": a comment\n\nid: 3\ndata:\n\n";
@@ -37,7 +37,7 @@
     }
 }
 
-TEST(event_splitter, keeps_what_is_not_complete)
+TEST(event_splitter, buffers_an_incomplete_event)
 {
     CHECK(this->splitter.feed("id: 1\ndata: a\n").empty());
     CHECK(this->splitter.has_partial_event());
@@ -45,7 +45,7 @@
     CHECK_FALSE(this->splitter.has_partial_event());
 }
 
-TEST(event_splitter, notices_an_endless_event)
+TEST(event_splitter, detects_an_event_over_the_size_limit)
 {
     this->splitter.feed(std::string(event_splitter::max_event_bytes + 1, 'x'));
     CHECK(this->splitter.is_too_long());
--- a/tests/relay/stop_schedule_test.cpp
+++ b/tests/relay/stop_schedule_test.cpp
@@ -12,7 +12,7 @@
     const time_point begin{seconds(100)};
 };
 
-TEST(stop_schedule, serves_while_callers_may_keep_the_address)
+TEST(stop_schedule, accepts_requests_while_callers_may_use_the_address)
 {
     const stop_schedule schedule(begin, seconds(1), seconds(8));
     CHECK(schedule.accepts_requests(begin + milliseconds(2999)));
@@ -22,8 +22,9 @@
     CHECK_FALSE(schedule.is_over(begin + seconds(3), 1));
 }
 
-// A node that took requests until its last moment cut them at its end.
-TEST(stop_schedule, leaves_time_for_what_was_taken_last)
+// A node that accepted requests until the end of its stop cut them off when it
+// exited.
+TEST(stop_schedule, leaves_time_for_the_last_requests)
 {
     const stop_schedule schedule(begin, seconds(5), seconds(8));
     time_point last = begin;
@@ -35,7 +36,7 @@
     CHECK(schedule.is_over(begin + milliseconds(7600), 1));
 }
 
-TEST(stop_schedule, a_short_limit_ends_in_time)
+TEST(stop_schedule, meets_a_short_limit)
 {
     const stop_schedule schedule(begin, seconds(2), seconds(1));
     CHECK_FALSE(schedule.accepts_requests(begin));
