--- a/tests/relay/job_placement_test.cpp
+++ b/tests/relay/job_placement_test.cpp
@@ -20,7 +20,7 @@
     }
 };
 
-TEST(job_placement, a_living_owner_keeps_its_job)
+TEST(job_placement, a_live_owner_keeps_its_job)
 {
     CHECK_FALSE(is_owner_gone(this->owner, this->state));
     this->owner.state = node_state::suspect;
@@ -33,7 +33,7 @@
     CHECK_FALSE(is_owner_gone(this->owner, this->state));
 }
 
-TEST(job_placement, a_restarted_owner_has_lost_its_job)
+TEST(job_placement, a_restarted_owner_loses_its_job)
 {
     this->owner.incarnation = incarnation_number(5000);
     this->owner.start_incarnation = incarnation_number(5000);
