--- a/src/relay/address_service.hpp
+++ b/src/relay/address_service.hpp
@@ -9,7 +9,7 @@
 namespace parsleytrack::relay
 {
 
-/// Answers address requests with the nodes to which callers can connect.
+/// Responds to address requests with the nodes that callers can connect to.
 class address_service
 {
 public:
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -79,24 +79,25 @@
 
 void online_call::request_slot()
 {
-    slot_request order;
-    order.request = this->request.id;
-    order.pool.service = this->service;
-    order.priority = this->request.route->priority;
-    order.useful_for = this->useful_time();
-    order.wait_when_late = this->request.elapsed_before > duration::zero() ||
-                           this->response_started || this->sends > 0;
-    order.excluded = this->excluded;
-    order.availability_zone = this->context.settings.availability_zone;
+    slot_request wanted;
+    wanted.request = this->request.id;
+    wanted.pool.service = this->service;
+    wanted.priority = this->request.route->priority;
+    wanted.useful_for = this->useful_time();
+    wanted.wait_when_late = this->request.elapsed_before > duration::zero() ||
+                            this->response_started || this->sends > 0;
+    wanted.excluded = this->excluded;
+    wanted.availability_zone = this->context.settings.availability_zone;
     this->lease = this->slots.request_slot(
-        order, {[this](const replica_id& granted) { this->send(granted); },
-                [this](duration retry_after)
-                {
-                    this->fail(error{error_code::shutting_down,
-                                     "no replica will have a free slot in time",
-                                     ran_state::no, retry_after});
-                },
-                {}});
+        wanted,
+        {[this](const replica_id& granted) { this->send(granted); },
+         [this](duration retry_after)
+         {
+             this->fail(error{error_code::shutting_down,
+                              "no replica will have a free slot in time",
+                              ran_state::no, retry_after});
+         },
+         {}});
 }
 
 duration online_call::useful_time() const
--- a/tests/relay/progress_tracker_test.cpp
+++ b/tests/relay/progress_tracker_test.cpp
@@ -20,7 +20,7 @@
     }
 };
 
-TEST(progress_tracker, writes_what_is_new_once)
+TEST(progress_tracker, writes_unsaved_progress_once)
 {
     CHECK_FALSE(this->tracker.has_unsaved());
     this->tracker.progress_of(3) = jobs::item_progress{5, "text"};
@@ -34,7 +34,7 @@
     CHECK_FALSE(this->tracker.has_unsaved());
 }
 
-TEST(progress_tracker, waits_between_two_writes)
+TEST(progress_tracker, limits_how_often_it_writes)
 {
     this->tracker.progress_of(1) = jobs::item_progress{1, "a"};
     CHECK_FALSE(this->tracker.is_due(this->now));
@@ -55,13 +55,13 @@
     CHECK(this->save().erased.empty());
 }
 
-TEST(progress_tracker, what_an_earlier_owner_has_written_is_no_news)
+TEST(progress_tracker, progress_saved_by_an_earlier_owner_is_not_unsaved)
 {
     const progress_tracker taken(job_id("j"), {{2, {7, "seven"}}}, this->now);
     CHECK_FALSE(taken.has_unsaved());
 }
 
-TEST(progress_tracker, is_bounded)
+TEST(progress_tracker, limits_the_size_of_the_record)
 {
     const std::string large(200 * 1024, 'x');
     this->tracker.progress_of(1) = jobs::item_progress{1, large};
