--- a/src/relay/address_service.hpp
+++ b/src/relay/address_service.hpp
@@ -9,7 +9,7 @@
 namespace parsleytrack::relay
 {
 
-/// Tells callers which nodes to connect to.
+/// Responds to address requests with the nodes that callers can connect to.
 class address_service
 {
 public:
--- a/src/relay/online_call.cpp
+++ b/src/relay/online_call.cpp
@@ -15,19 +15,20 @@
 namespace
 {
 
-/// Share of the target latency that is kept for the replica's own work when
-/// it is judged whether an answer can still be on time.
+/// The target latency divided by this is reserved for the replica's own work
+/// when judging whether a response can still be on time.
 constexpr int replica_time_divisor = 4;
-/// A replica that gives no sign for so long is held to be silent, if another
-/// one may take over. Twice the longest pause between events that is on time.
+/// A replica that sends nothing for this long counts as unresponsive if the
+/// request may be retried on another one. Twice the longest pause between
+/// events that still counts as on time.
 constexpr duration unresponsive_timeout = std::chrono::milliseconds(600);
-/// Most replicas that are tried for one request, the ones that did not run it
-/// included.
+/// Most replicas tried for one request, including those that did not run it.
 constexpr int max_sends = 5;
-/// Most of a stream that waits for a slow caller. A caller that keeps up has
-/// a few events waiting; a node has memory for dozens of such callers.
+/// Most bytes of a stream that are buffered for a slow caller. A caller that
+/// keeps up has a few events buffered; a node has memory for dozens of slow
+/// callers.
 constexpr std::size_t max_unread_bytes = 256 * 1024;
-/// Longest body of a failure that is passed on.
+/// Longest body of an error response that is passed on to the caller.
 constexpr std::size_t max_error_body_bytes = 1024 * 1024;
 constexpr duration retry_after_refused = std::chrono::milliseconds(300);
 constexpr int first_error_status = 500;
@@ -78,24 +79,25 @@
 
 void online_call::request_slot()
 {
-    slot_request order;
-    order.request = this->request.id;
-    order.pool.service = this->service;
-    order.priority = this->request.route->priority;
-    order.useful_for = this->useful_time();
-    order.wait_when_late = this->request.elapsed_before > duration::zero() ||
-                           this->response_started || this->sends > 0;
-    order.excluded = this->excluded;
-    order.availability_zone = this->context.settings.availability_zone;
+    slot_request wanted;
+    wanted.request = this->request.id;
+    wanted.pool.service = this->service;
+    wanted.priority = this->request.route->priority;
+    wanted.useful_for = this->useful_time();
+    wanted.wait_when_late = this->request.elapsed_before > duration::zero() ||
+                            this->response_started || this->sends > 0;
+    wanted.excluded = this->excluded;
+    wanted.availability_zone = this->context.settings.availability_zone;
     this->lease = this->slots.request_slot(
-        order, {[this](const replica_id& granted) { this->send(granted); },
-                [this](duration retry_after)
-                {
-                    this->fail(error{error_code::shutting_down,
-                                     "no replica has a free slot in time",
-                                     ran_state::no, retry_after});
-                },
-                {}});
+        wanted,
+        {[this](const replica_id& granted) { this->send(granted); },
+         [this](duration retry_after)
+         {
+             this->fail(error{error_code::shutting_down,
+                              "no replica will have a free slot in time",
+                              ran_state::no, retry_after});
+         },
+         {}});
 }
 
 duration online_call::useful_time() const
@@ -114,7 +116,7 @@
     if (entry == nullptr)
     {
         this->excluded.insert(granted);
-        this->send_again("the replica has left");
+        this->send_again("the replica is no longer usable");
         return;
     }
     this->replica = granted;
@@ -175,7 +177,7 @@
         this->collected_body += chunk;
         if (this->collected_body.size() > max_error_body_bytes)
         {
-            this->attempt->abort("the text of the failure is too long");
+            this->attempt->abort("the body of the error response is too long");
         }
         return;
     }
@@ -187,7 +189,7 @@
     }
     if (this->splitter.is_too_long())
     {
-        this->attempt->abort("an event has no end");
+        this->attempt->abort("an event exceeds the size limit");
         return;
     }
     if (ready.empty())
@@ -206,7 +208,7 @@
     if (this->exchange->pending_output_bytes() > max_unread_bytes)
     {
         this->fail(error{error_code::deadline_exceeded,
-                         "the caller does not read the answer",
+                         "the caller does not read the response",
                          ran_state::unknown,
                          {}});
     }
@@ -229,7 +231,7 @@
     }
     this->slots.report_failure(this->request.id, this->service, this->replica,
                                outcome);
-    this->send_again(answered ? "the answer is not whole" : reason);
+    this->send_again(answered ? "the response is incomplete" : reason);
 }
 
 bool online_call::handle_response(net::http_response response)
@@ -248,7 +250,7 @@
     if (this->request.route->kind == routing::request_kind::streaming &&
         is_success(status))
     {
-        // A stream without a single event.
+        // The stream ended without a single event.
         return false;
     }
     const std::string& body =
@@ -275,7 +277,7 @@
 void online_call::send_again(const std::string& reason)
 {
     this->excluded.insert(this->replica);
-    // The exchange with the replica may be the one whose callback runs.
+    // Freed later, since this may run inside a callback of the exchange.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     if (!this->may_send_again())
@@ -283,8 +285,8 @@
         const bool ran = this->runs > 0;
         this->fail(error{
             ran ? error_code::backend_failed : error_code::no_replica,
-            "the replica " + this->replica.str() +
-                " has not answered: " + reason,
+            "replica " + this->replica.str() +
+                " did not complete the request: " + reason,
             ran ? ran_state::unknown : ran_state::no, retry_after_refused});
         return;
     }
@@ -324,13 +326,13 @@
 {
     if (this->attempt)
     {
-        // The replica may be at work.
+        // The replica may be running the request.
         ++this->runs;
     }
     const bool ran = this->runs > 0;
     this->fail(
         error{ran ? error_code::deadline_exceeded : error_code::no_replica,
-              "the time for the request is over",
+              "the deadline of the request has passed",
               ran ? ran_state::unknown : ran_state::no, retry_after_refused});
 }
 
@@ -342,7 +344,8 @@
     }
     this->deadline_timer.cancel();
     this->report_end(outcome, status);
-    // Closes the connection to the replica, outside of its own callback.
+    // Closes the connection to the replica; deferred, since this may run inside
+    // its callback.
     this->context.loop.free_later(std::move(this->attempt));
     this->lease.reset();
     const auto callback = std::move(this->ended_callback);
