--- a/src/cli/settings_commands.cpp
+++ b/src/cli/settings_commands.cpp
@@ -39,7 +39,7 @@
         for (const finding& problem : problems)
         {
             list.push_back(
-                {{"place", problem.place}, {"message", problem.message}});
+                {{"place", problem.location}, {"message", problem.message}});
         }
         std::cout << json{{"findings", list}}.dump() << '\n';
         return problems.empty() ? exit_code::done : exit_code::refused;
@@ -52,7 +52,7 @@
     table rows({"PLACE", "FINDING"});
     for (const finding& problem : problems)
     {
-        rows.add({problem.place, problem.message});
+        rows.add({problem.location, problem.message});
     }
     rows.print(std::cout);
     return exit_code::refused;
--- a/src/daemon/release_answers.cpp
+++ b/src/daemon/release_answers.cpp
@@ -57,7 +57,7 @@
     for (const finding& problem : problems)
     {
         body["findings"].push_back(
-            {{"place", problem.place}, {"message", problem.message}});
+            {{"place", problem.location}, {"message", problem.message}});
     }
     exchange.respond_json(status_unprocessable, dump(body));
 }
--- a/src/daemon/storage_module.cpp
+++ b/src/daemon/storage_module.cpp
@@ -79,7 +79,7 @@
     void erase_expired() const
     {
         const auto kept_for = std::chrono::duration_cast<std::chrono::seconds>(
-            this->context.settings.batch.keep_results + longest_job);
+            this->context.settings.batch.result_retention + longest_job);
         const result<bool> erased =
             this->local->erase_older_than(wall_clock_s() - kept_for.count());
         if (erased.has_error())
--- a/src/logging/bounded_sink.cpp
+++ b/src/logging/bounded_sink.cpp
@@ -18,7 +18,7 @@
 
 void bounded_sink::sink_it_(const spdlog::details::log_msg& message)
 {
-    if (!this->take_allowance())
+    if (!this->try_consume_token())
     {
         ++this->total_dropped;
         return;
@@ -32,27 +32,26 @@
     }
 }
 
-bool bounded_sink::take_allowance()
+bool bounded_sink::try_consume_token()
 {
     const time_point current = this->now();
     const double seconds =
         std::chrono::duration<double>(current - this->refilled_at).count();
     this->refilled_at = current;
-    this->allowance =
-        std::min(burst_lines, this->allowance + seconds * lines_per_s);
-    if (this->allowance < 1.0)
+    this->tokens = std::min(burst_lines, this->tokens + seconds * lines_per_s);
+    if (this->tokens < 1.0)
     {
         return false;
     }
-    this->allowance -= 1.0;
+    this->tokens -= 1.0;
     return true;
 }
 
 bool bounded_sink::write_line(const char* data, std::size_t size)
 {
     // Lines are shorter than PIPE_BUF, so a writable pipe takes one whole.
-    pollfd room{this->descriptor, POLLOUT, 0};
-    if (::poll(&room, 1, 0) != 1 || (room.revents & POLLOUT) == 0)
+    pollfd poll_entry{this->descriptor, POLLOUT, 0};
+    if (::poll(&poll_entry, 1, 0) != 1 || (poll_entry.revents & POLLOUT) == 0)
     {
         return false;
     }
--- a/src/logging/bounded_sink.hpp
+++ b/src/logging/bounded_sink.hpp
@@ -38,13 +38,13 @@
     void flush_() override {}
 
 private:
-    bool take_allowance();
+    bool try_consume_token();
     bool write_line(const char* data, std::size_t size);
     void report_dropped();
 
     int descriptor;
     clock now;
-    double allowance = burst_lines;
+    double tokens = burst_lines;
     time_point refilled_at;
     std::uint64_t total_dropped = 0;
     std::uint64_t reported_dropped = 0;
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -75,8 +75,8 @@
         {
             line += '\\';
         }
-        const bool is_break = character == '\n' || character == '\r';
-        line += is_break ? ' ' : character;
+        const bool is_line_break = character == '\n' || character == '\r';
+        line += is_line_break ? ' ' : character;
     }
     line += '"';
 }
--- a/src/logging/log_findings.cpp
+++ b/src/logging/log_findings.cpp
@@ -10,7 +10,7 @@
     for (const finding& problem : problems)
     {
         log_event(log_level::error, event,
-                  {{"place", problem.place}, {"message", problem.message}});
+                  {{"place", problem.location}, {"message", problem.message}});
     }
 }
 
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -30,7 +30,7 @@
 }
 
 /// \returns Labels as they are printed between braces.
-std::string print_labels(const label_list& labels)
+std::string format_labels(const label_list& labels)
 {
     std::string text;
     for (const auto& [name, value] : labels)
@@ -57,7 +57,7 @@
     {
         found = families.emplace(std::string(name), family<Value>()).first;
     }
-    return found->second[print_labels(labels)];
+    return found->second[format_labels(labels)];
 }
 
 template <class Value>
@@ -130,7 +130,7 @@
     {
         return 0;
     }
-    const auto value = found->second.find(print_labels(labels));
+    const auto value = found->second.find(format_labels(labels));
     return value == found->second.end() ? 0 : value->second;
 }
 
--- a/src/relay/job_cleaner.cpp
+++ b/src/relay/job_cleaner.cpp
@@ -29,7 +29,7 @@
 {
     const std::int64_t age_ms = wall_clock_ms() - state.submitted_at_ms;
     const bool is_expired =
-        age_ms > to_milliseconds(this->context.settings.keep_results);
+        age_ms > to_milliseconds(this->context.settings.result_retention);
     if (!is_expired || this->erasing.size() >= max_concurrent_erasures ||
         preferred_owner(this->context.group, state.id).id !=
             this->context.group.own().id ||
--- a/src/relay/job_service.cpp
+++ b/src/relay/job_service.cpp
@@ -351,7 +351,7 @@
         {
             this->evict_at.emplace(
                 id, now + std::min(memory_retention,
-                                   this->context.settings.keep_results));
+                                   this->context.settings.result_retention));
         }
     }
     std::erase_if(this->evict_at,
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -48,7 +48,7 @@
     own.region = settings.region;
     own.availability_zone = settings.availability_zone;
     own.entry = settings.front.has_value();
-    own.capacity = settings.capacity;
+    own.capacity = settings.capacity_millicores;
     own.incarnation = peering::first_incarnation();
     own.start_incarnation = own.incarnation;
     return own;
@@ -275,7 +275,7 @@
     }
     const auto& fresh = std::get<settings::relay_settings>(outcome);
     this->settings.address_validity = fresh.address_validity;
-    this->settings.stop_limit = fresh.stop_limit;
+    this->settings.stop_timeout = fresh.stop_timeout;
     this->settings.level = fresh.level;
     configure_logging(fresh.level, this->settings.id.str());
     log_event(log_level::info, "reloaded", {{"path", this->settings_path}});
@@ -290,7 +290,7 @@
     log_event(log_level::info, "stopping",
               {{"open_requests", this->front.open_requests()}});
     this->stop.emplace(net::event_loop::now(), this->settings.address_validity,
-                       this->settings.stop_limit);
+                       this->settings.stop_timeout);
     this->group.announce_leaving();
     this->front.close_after_answers();
     this->jobs.stop();
--- a/src/settings/batch_settings.hpp
+++ b/src/settings/batch_settings.hpp
@@ -17,7 +17,7 @@
     /// The most time that results wait to be committed together.
     duration commit_interval = std::chrono::seconds(2);
     /// How long the results of a finished job are kept.
-    duration keep_results = std::chrono::hours(24 * 30);
+    duration result_retention = std::chrono::hours(24 * 30);
 };
 
 } // namespace parsleytrack::settings
--- a/src/settings/document_loader.hpp
+++ b/src/settings/document_loader.hpp
@@ -17,11 +17,13 @@
 
 /// \param text A document of settings.
 /// \param name What stands for the document in findings.
-/// \param read Reads the settings by means of an object_reader.
+/// \param read_settings Reads the settings by means of an object_reader.
 /// \returns The settings, or all that is wrong with them.
-template <class Read>
-auto parse_as(std::string_view text, const std::string& name, Read read)
-    -> std::variant<std::invoke_result_t<Read, object_reader&>, findings>
+template <class ReadSettings>
+auto parse_settings_document(std::string_view text, const std::string& name,
+                             ReadSettings read_settings)
+    -> std::variant<std::invoke_result_t<ReadSettings, object_reader&>,
+                    findings>
 {
     findings problems;
     const nlohmann::json document = parse_document(text, name, problems);
@@ -30,8 +32,8 @@
         return problems;
     }
     object_reader reader(document, name + ":", problems);
-    auto settings = read(reader);
-    reader.finish();
+    auto settings = read_settings(reader);
+    reader.report_unknown_fields();
     if (!problems.empty())
     {
         return problems;
@@ -40,18 +42,20 @@
 }
 
 /// \param path A file of settings.
-/// \param read As for parse_as().
+/// \param read_settings As for parse_settings_document().
 /// \returns The settings, or why there are none.
-template <class Read>
-auto load_as(const std::string& path, Read read)
-    -> std::variant<std::invoke_result_t<Read, object_reader&>, findings>
+template <class ReadSettings>
+auto load_settings_document(const std::string& path, ReadSettings read_settings)
+    -> std::variant<std::invoke_result_t<ReadSettings, object_reader&>,
+                    findings>
 {
     const auto text = read_settings_file(path);
     if (const auto* problems = std::get_if<findings>(&text))
     {
         return *problems;
     }
-    return parse_as(std::get<std::string>(text), path, read);
+    return parse_settings_document(std::get<std::string>(text), path,
+                                   read_settings);
 }
 
 } // namespace parsleytrack::settings::detail
--- a/src/settings/document_parser.cpp
+++ b/src/settings/document_parser.cpp
@@ -14,9 +14,9 @@
 
 using json = nlohmann::json;
 
-constexpr int max_depth = 32;
+constexpr int max_nesting_depth = 32;
 
-std::size_t line_of(std::string_view text, std::size_t position)
+std::size_t line_number(std::string_view text, std::size_t position)
 {
     const std::size_t end = std::min(position, text.size());
     return 1 + static_cast<std::size_t>(
@@ -24,10 +24,10 @@
 }
 
 /// Follows the parser and notes fields that a document repeats.
-class repeated_field_check
+class repeated_field_detector
 {
 public:
-    repeated_field_check(const std::string& name, findings& collected)
+    repeated_field_detector(const std::string& name, findings& collected)
         : document_name(name), problems(collected)
     {
     }
@@ -62,14 +62,14 @@
 
 /// \returns Whether brackets are nested more deeply than settings ever are;
 /// the parser's own recursion has no limit.
-bool is_too_deep(std::string_view text)
+bool exceeds_max_depth(std::string_view text)
 {
     int depth = 0;
     for (const char character : text)
     {
         depth += character == '{' || character == '[' ? 1 : 0;
         depth -= character == '}' || character == ']' ? 1 : 0;
-        if (depth > max_depth)
+        if (depth > max_nesting_depth)
         {
             return true;
         }
@@ -82,7 +82,7 @@
 json parse_document(std::string_view text, const std::string& name,
                     findings& problems)
 {
-    if (is_too_deep(text))
+    if (exceeds_max_depth(text))
     {
         problems.push_back({name, "is nested too deeply"});
         return nullptr;
@@ -90,12 +90,12 @@
     try
     {
         return json::parse(text.begin(), text.end(),
-                           repeated_field_check(name, problems), true, true);
+                           repeated_field_detector(name, problems), true, true);
     }
     catch (const json::parse_error& failure)
     {
         problems.push_back(
-            {name + ":" + std::to_string(line_of(text, failure.byte)),
+            {name + ":" + std::to_string(line_number(text, failure.byte)),
              std::string("is not valid JSON: ") + failure.what()});
         return nullptr;
     }
--- a/src/settings/object_reader.cpp
+++ b/src/settings/object_reader.cpp
@@ -17,26 +17,26 @@
 
 constexpr std::int64_t microseconds_per_second = 1'000'000;
 
-std::string range_text(double least, double most)
+std::string format_range(double min_value, double max_value)
 {
-    return "from " + json(least).dump() + " to " + json(most).dump();
+    return "from " + json(min_value).dump() + " to " + json(max_value).dump();
 }
 
 } // namespace
 
 object_reader::object_reader(const json& value, std::string pointer,
                              findings& collected)
-    : contents(value), place(std::move(pointer)), problems(collected)
+    : contents(value), location(std::move(pointer)), problems(collected)
 {
     if (!value.is_object())
     {
-        this->problems.push_back({this->place, "must be an object"});
+        this->problems.push_back({this->location, "must be an object"});
     }
 }
 
 const json* object_reader::find(const char* field)
 {
-    this->known_fields.insert(field);
+    this->requested_fields.insert(field);
     if (!this->contents.is_object())
     {
         return nullptr;
@@ -47,13 +47,13 @@
 
 void object_reader::report(std::string_view field, std::string message)
 {
-    std::string where = this->place;
+    std::string field_location = this->location;
     if (!field.empty())
     {
-        where += '/';
-        where += field;
+        field_location += '/';
+        field_location += field;
     }
-    this->problems.push_back({std::move(where), std::move(message)});
+    this->problems.push_back({std::move(field_location), std::move(message)});
 }
 
 std::string object_reader::required_text(const char* field)
@@ -83,7 +83,8 @@
 }
 
 std::int64_t object_reader::integer(const char* field, std::int64_t fallback,
-                                    std::int64_t least, std::int64_t most)
+                                    std::int64_t min_value,
+                                    std::int64_t max_value)
 {
     const json* value = this->find(field);
     if (value == nullptr)
@@ -91,46 +92,48 @@
         return fallback;
     }
     const bool valid = value->is_number_integer() &&
-                       value->get<std::int64_t>() >= least &&
-                       value->get<std::int64_t>() <= most;
+                       value->get<std::int64_t>() >= min_value &&
+                       value->get<std::int64_t>() <= max_value;
     if (!valid)
     {
         this->report(field, "must be a whole number from " +
-                                std::to_string(least) + " to " +
-                                std::to_string(most));
+                                std::to_string(min_value) + " to " +
+                                std::to_string(max_value));
         return fallback;
     }
     return value->get<std::int64_t>();
 }
 
-double object_reader::number(const char* field, double fallback, double least,
-                             double most)
+double object_reader::number(const char* field, double fallback,
+                             double min_value, double max_value)
 {
     const json* value = this->find(field);
     if (value == nullptr)
     {
         return fallback;
     }
-    const bool valid = value->is_number() && value->get<double>() >= least &&
-                       value->get<double>() <= most;
+    const bool valid = value->is_number() &&
+                       value->get<double>() >= min_value &&
+                       value->get<double>() <= max_value;
     if (!valid)
     {
-        this->report(field, "must be a number " + range_text(least, most));
+        this->report(field,
+                     "must be a number " + format_range(min_value, max_value));
         return fallback;
     }
     return value->get<double>();
 }
 
 duration object_reader::seconds(const char* field, duration fallback,
-                                duration least, duration most)
+                                duration min_value, duration max_value)
 {
     const auto to_number = [](duration span)
     {
         return static_cast<double>(span.count()) /
                static_cast<double>(microseconds_per_second);
     };
-    const double value = this->number(field, to_number(fallback),
-                                      to_number(least), to_number(most));
+    const double value = this->number(
+        field, to_number(fallback), to_number(min_value), to_number(max_value));
     return duration(static_cast<std::int64_t>(
         value * static_cast<double>(microseconds_per_second)));
 }
@@ -210,9 +213,9 @@
     const json* value = this->find(field);
     const json nothing = json::object();
     object_reader reader(value == nullptr ? nothing : *value,
-                         this->place + "/" + field, this->problems);
+                         this->location + "/" + field, this->problems);
     read(reader);
-    reader.finish();
+    reader.report_unknown_fields();
 }
 
 void object_reader::each(const char* field,
@@ -231,15 +234,15 @@
     for (std::size_t index = 0; index < value->size(); ++index)
     {
         object_reader reader((*value)[index],
-                             this->place + "/" + field + "/" +
+                             this->location + "/" + field + "/" +
                                  std::to_string(index),
                              this->problems);
         read(reader);
-        reader.finish();
+        reader.report_unknown_fields();
     }
 }
 
-void object_reader::finish()
+void object_reader::report_unknown_fields()
 {
     if (!this->contents.is_object())
     {
@@ -247,7 +250,7 @@
     }
     for (const auto& [field, value] : this->contents.items())
     {
-        if (this->known_fields.count(field) == 0)
+        if (this->requested_fields.count(field) == 0)
         {
             this->report(field, "is not a known field");
         }
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -39,18 +39,18 @@
     /// Reads a whole number.
     ///
     /// \param fallback The value of a missing field.
-    /// \param least The least value allowed.
-    /// \param most The greatest value allowed.
+    /// \param min_value The least value allowed.
+    /// \param max_value The greatest value allowed.
     std::int64_t integer(const char* field, std::int64_t fallback,
-                         std::int64_t least, std::int64_t most);
+                         std::int64_t min_value, std::int64_t max_value);
 
     /// Reads a number.
-    double number(const char* field, double fallback, double least,
-                  double most);
+    double number(const char* field, double fallback, double min_value,
+                  double max_value);
 
     /// Reads a time in seconds.
-    duration seconds(const char* field, duration fallback, duration least,
-                     duration most);
+    duration seconds(const char* field, duration fallback, duration min_value,
+                     duration max_value);
 
     /// Reads true or false.
     bool flag(const char* field, bool fallback);
@@ -76,18 +76,18 @@
     void report(std::string_view field, std::string message);
 
     /// Adds a finding for each field that nobody asked for.
-    void finish();
+    void report_unknown_fields();
 
     /// \returns The JSON pointer of this object.
-    const std::string& pointer() const { return this->place; }
+    const std::string& pointer() const { return this->location; }
 
 private:
     const nlohmann::json* find(const char* field);
 
     const nlohmann::json& contents;
-    std::string place;
+    std::string location;
     findings& problems;
-    std::set<std::string> known_fields;
+    std::set<std::string> requested_fields;
 };
 
 } // namespace parsleytrack::settings::detail
--- a/src/settings/relay_settings.hpp
+++ b/src/settings/relay_settings.hpp
@@ -19,7 +19,7 @@
     region_name region;
     availability_zone_name availability_zone;
     /// What the node may spend, in thousandths of a core.
-    int capacity = 1000;
+    int capacity_millicores = 1000;
     /// Where callers connect; absent for a node that takes none.
     std::optional<endpoint> front;
     /// Where the node answers whether it takes requests.
@@ -39,9 +39,9 @@
     /// How long callers may keep an address answer.
     duration address_validity = std::chrono::seconds(2);
     /// How long after its submission a finished job's results stay readable.
-    duration keep_results = std::chrono::minutes(15);
+    duration result_retention = std::chrono::minutes(15);
     /// Longest time of a planned stop.
-    duration stop_limit = std::chrono::seconds(8);
+    duration stop_timeout = std::chrono::seconds(8);
     log_level level = log_level::info;
 };
 
--- a/src/settings/relay_settings_loader.cpp
+++ b/src/settings/relay_settings_loader.cpp
@@ -12,9 +12,9 @@
 
 using detail::object_reader;
 
-constexpr double least_cores = 0.01;
-constexpr double most_cores = 1024.0;
-constexpr double thousandths_per_core = 1000.0;
+constexpr double min_cores = 0.01;
+constexpr double max_cores = 1024.0;
+constexpr double millicores_per_core = 1000.0;
 
 std::optional<endpoint> read_optional_address(object_reader& reader,
                                               const char* field)
@@ -50,9 +50,9 @@
     settings.region = region_name(reader.required_text("region"));
     settings.availability_zone =
         availability_zone_name(reader.required_text("availability_zone"));
-    settings.capacity =
-        static_cast<int>(reader.number("cores", 1.0, least_cores, most_cores) *
-                         thousandths_per_core);
+    settings.capacity_millicores =
+        static_cast<int>(reader.number("cores", 1.0, min_cores, max_cores) *
+                         millicores_per_core);
 }
 
 void read_listen(object_reader& reader, relay_settings& settings)
@@ -73,10 +73,10 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
     relay_settings settings;
-    reader.object("node", [&settings](object_reader& part)
-                  { read_node(part, settings); });
-    reader.object("listen", [&settings](object_reader& part)
-                  { read_listen(part, settings); });
+    reader.object("node", [&settings](object_reader& section)
+                  { read_node(section, settings); });
+    reader.object("listen", [&settings](object_reader& section)
+                  { read_listen(section, settings); });
     settings.seeds = reader.endpoints("seeds");
     // The platform names the seeds by another port; all nodes use the same
     // port for one another.
@@ -86,32 +86,32 @@
     }
     reader.object(
         "store",
-        [&settings](object_reader& part)
+        [&settings](object_reader& section)
         {
-            settings.store = read_address(part, "address");
-            settings.max_direct_followers = static_cast<int>(part.number(
+            settings.store = read_address(section, "address");
+            settings.max_direct_followers = static_cast<int>(section.number(
                 "most_nodes_alone", settings.max_direct_followers, 1, 10'000));
         });
     reader.object("addresses",
-                  [&settings](object_reader& part)
+                  [&settings](object_reader& section)
                   {
-                      settings.address_validity =
-                          part.seconds("validity_s", settings.address_validity,
-                                       milliseconds(100), seconds(300));
+                      settings.address_validity = section.seconds(
+                          "validity_s", settings.address_validity,
+                          milliseconds(100), seconds(300));
                   });
     reader.object("jobs",
-                  [&settings](object_reader& part)
+                  [&settings](object_reader& section)
                   {
-                      settings.keep_results = part.seconds(
-                          "keep_results_s", settings.keep_results, seconds(1),
-                          std::chrono::hours(24 * 365));
+                      settings.result_retention = section.seconds(
+                          "keep_results_s", settings.result_retention,
+                          seconds(1), std::chrono::hours(24 * 365));
                   });
     reader.object("stop",
-                  [&settings](object_reader& part)
+                  [&settings](object_reader& section)
                   {
-                      settings.stop_limit =
-                          part.seconds("limit_s", settings.stop_limit,
-                                       seconds(1), seconds(600));
+                      settings.stop_timeout =
+                          section.seconds("limit_s", settings.stop_timeout,
+                                          seconds(1), seconds(600));
                   });
     detail::read_log_level(reader, settings.level);
     return settings;
@@ -122,12 +122,12 @@
 relay_load_outcome parse_relay_settings(std::string_view text,
                                         const std::string& name)
 {
-    return detail::parse_as(text, name, read_relay_settings);
+    return detail::parse_settings_document(text, name, read_relay_settings);
 }
 
 relay_load_outcome load_relay_settings(const std::string& path)
 {
-    return detail::load_as(path, read_relay_settings);
+    return detail::load_settings_document(path, read_relay_settings);
 }
 
 } // namespace parsleytrack::settings
--- a/src/settings/service_settings_reader.cpp
+++ b/src/settings/service_settings_reader.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr int max_slots = 4096;
-constexpr duration shortest_timeout = std::chrono::milliseconds(10);
-constexpr duration longest_timeout = std::chrono::hours(1);
+constexpr duration min_timeout = std::chrono::milliseconds(10);
+constexpr duration max_timeout = std::chrono::hours(1);
 
 route_settings read_route(object_reader& reader)
 {
@@ -57,15 +57,13 @@
     }
     service.checks_fencing =
         reader.flag("checks_fencing", service.checks_fencing);
-    service.online_deadline =
-        reader.seconds("online_deadline_s", service.online_deadline,
-                       shortest_timeout, longest_timeout);
+    service.online_deadline = reader.seconds(
+        "online_deadline_s", service.online_deadline, min_timeout, max_timeout);
     service.first_byte_timeout =
         reader.seconds("first_byte_timeout_s", service.first_byte_timeout,
-                       shortest_timeout, longest_timeout);
-    service.idle_timeout =
-        reader.seconds("idle_timeout_s", service.idle_timeout, shortest_timeout,
-                       longest_timeout);
+                       min_timeout, max_timeout);
+    service.idle_timeout = reader.seconds(
+        "idle_timeout_s", service.idle_timeout, min_timeout, max_timeout);
     reader.each("routes", [&service](object_reader& route)
                 { service.routes.push_back(read_route(route)); });
     if (service.kind == service_kind::engine && !service.routes.empty())
--- a/src/settings/settings_loader.cpp
+++ b/src/settings/settings_loader.cpp
@@ -8,12 +8,13 @@
 
 load_outcome parse_settings(std::string_view text, const std::string& name)
 {
-    return detail::parse_as(text, name, detail::read_node_settings);
+    return detail::parse_settings_document(text, name,
+                                           detail::read_node_settings);
 }
 
 load_outcome load_settings(const std::string& path)
 {
-    return detail::load_as(path, detail::read_node_settings);
+    return detail::load_settings_document(path, detail::read_node_settings);
 }
 
 } // namespace parsleytrack::settings
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -95,12 +95,12 @@
     using std::chrono::hours;
     using std::chrono::milliseconds;
     using std::chrono::seconds;
-    constexpr int least_copies = 2;
-    constexpr int most_copies = 5;
+    constexpr int min_copies = 2;
+    constexpr int max_copies = 5;
     batch.lot_items = static_cast<int>(
         reader.integer("lot_items", batch.lot_items, 1, max_lot_items));
     batch.copies = static_cast<int>(
-        reader.integer("copies", batch.copies, least_copies, most_copies));
+        reader.integer("copies", batch.copies, min_copies, max_copies));
     batch.lease =
         reader.seconds("lease_s", batch.lease, seconds(1), seconds(300));
     batch.commit_interval =
@@ -110,8 +110,8 @@
     {
         reader.report("commit_interval_s", "must be shorter than lease_s");
     }
-    batch.keep_results = reader.seconds("keep_results_s", batch.keep_results,
-                                        seconds(60), hours(24 * 365));
+    batch.result_retention = reader.seconds(
+        "keep_results_s", batch.result_retention, seconds(60), hours(24 * 365));
 }
 
 void check_services(object_reader& reader, const node_settings& settings)
@@ -121,18 +121,18 @@
     for (std::size_t index = 0; index < settings.services.size(); ++index)
     {
         const service_settings& service = settings.services[index];
-        const std::string place = "services/" + std::to_string(index);
+        const std::string location = "services/" + std::to_string(index);
         if (!names.insert(service.name.str()).second)
         {
-            reader.report(place + "/name", "stands twice");
+            reader.report(location + "/name", "stands twice");
         }
         for (const replica_settings& replica : service.replicas)
         {
             if (!replicas.insert(replica.id.str()).second)
             {
-                reader.report(place + "/replicas", "replica \"" +
-                                                       replica.id.str() +
-                                                       "\" stands twice");
+                reader.report(location + "/replicas", "replica \"" +
+                                                          replica.id.str() +
+                                                          "\" stands twice");
             }
         }
     }
@@ -149,35 +149,37 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
     node_settings settings;
-    reader.object("node", [&settings](object_reader& part)
-                  { read_identity(part, settings); });
-    reader.object("listen", [&settings](object_reader& part)
-                  { read_listen(part, settings); });
+    reader.object("node", [&settings](object_reader& section)
+                  { read_identity(section, settings); });
+    reader.object("listen", [&settings](object_reader& section)
+                  { read_listen(section, settings); });
     settings.seeds = reader.endpoints("seeds");
-    reader.object("store", [&settings](object_reader& part)
-                  { read_store(part, settings); });
-    reader.each("services", [&settings](object_reader& part)
-                { settings.services.push_back(read_service_settings(part)); });
+    reader.object("store", [&settings](object_reader& section)
+                  { read_store(section, settings); });
+    reader.each("services",
+                [&settings](object_reader& section) {
+                    settings.services.push_back(read_service_settings(section));
+                });
     check_services(reader, settings);
-    reader.object("limits", [&settings](object_reader& part)
-                  { read_limits(part, settings.limits); });
-    reader.object("batch", [&settings](object_reader& part)
-                  { read_batch(part, settings.batch); });
+    reader.object("limits", [&settings](object_reader& section)
+                  { read_limits(section, settings.limits); });
+    reader.object("batch", [&settings](object_reader& section)
+                  { read_batch(section, settings.batch); });
     reader.object("scheduling",
-                  [&settings](object_reader& part)
+                  [&settings](object_reader& section)
                   {
-                      settings.batch_weight = part.number(
+                      settings.batch_weight = section.number(
                           "batch_weight", settings.batch_weight, 0.0, 1.0);
                   });
     reader.object("addresses",
-                  [&settings](object_reader& part)
+                  [&settings](object_reader& section)
                   {
-                      settings.address_validity =
-                          part.seconds("validity_s", settings.address_validity,
-                                       milliseconds(100), seconds(300));
-                      settings.leave_margin =
-                          part.seconds("leave_margin_s", settings.leave_margin,
-                                       milliseconds(0), seconds(300));
+                      settings.address_validity = section.seconds(
+                          "validity_s", settings.address_validity,
+                          milliseconds(100), seconds(300));
+                      settings.leave_margin = section.seconds(
+                          "leave_margin_s", settings.leave_margin,
+                          milliseconds(0), seconds(300));
                   });
     read_log_level(reader, settings.level);
     return settings;
--- a/src/units/finding.hpp
+++ b/src/units/finding.hpp
@@ -10,7 +10,7 @@
 struct finding
 {
     /// File and line, or a JSON pointer into the document.
-    std::string place;
+    std::string location;
     /// One sentence: what is wrong and what is allowed.
     std::string message;
 };
--- a/src/units/invariant.cpp
+++ b/src/units/invariant.cpp
@@ -6,14 +6,14 @@
 namespace parsleytrack
 {
 
-void check_invariant(bool holds, const char* what)
+void check_invariant(bool condition, const char* description)
 {
-    if (holds)
+    if (condition)
     {
         return;
     }
     std::fputs("event=invariant_broken what=\"", stderr);
-    std::fputs(what, stderr);
+    std::fputs(description, stderr);
     std::fputs("\"\n", stderr);
     std::abort();
 }
--- a/tests/decisions/release_note_test.cpp
+++ b/tests/decisions/release_note_test.cpp
@@ -24,7 +24,7 @@
     {
         for (const finding& problem : *problems)
         {
-            found.push_back(problem.place);
+            found.push_back(problem.location);
         }
     }
     return found;
@@ -94,7 +94,7 @@
     const findings found = refusals(base, R"({"note_id":"n2","withdrawn":[
         {"kind":"model","name":"rota-llm"}]})");
     LONGS_EQUAL(1, found.size());
-    STRCMP_EQUAL("/withdrawn/0", found[0].place.c_str());
+    STRCMP_EQUAL("/withdrawn/0", found[0].location.c_str());
 }
 
 TEST(release_note, refuses_what_does_not_fit_the_catalogue)
@@ -109,10 +109,10 @@
                     "model":"rota-llm"}]})",
                                     {service_name("rota")});
     LONGS_EQUAL(4, found.size());
-    STRCMP_EQUAL("/changed/0/name", found[0].place.c_str());
-    STRCMP_EQUAL("/added/0/version", found[1].place.c_str());
-    STRCMP_EQUAL("/added/1/service", found[2].place.c_str());
-    STRCMP_EQUAL("/added/1/name", found[3].place.c_str());
+    STRCMP_EQUAL("/changed/0/name", found[0].location.c_str());
+    STRCMP_EQUAL("/added/0/version", found[1].location.c_str());
+    STRCMP_EQUAL("/added/1/service", found[2].location.c_str());
+    STRCMP_EQUAL("/added/1/name", found[3].location.c_str());
 }
 
 TEST(release_note, damaged_notes_are_refused_or_read_but_never_crash)
--- a/tests/settings/relay_settings_test.cpp
+++ b/tests/settings/relay_settings_test.cpp
@@ -25,11 +25,11 @@
             "addresses":{"validity_s":2},"stop":{"limit_s":8}})",
         "file");
     const auto& read = std::get<relay_settings>(outcome);
-    CHECK_EQUAL(250, read.capacity);
+    CHECK_EQUAL(250, read.capacity_millicores);
     CHECK_EQUAL(80, read.front->port);
     // Seeds are reached at the port that all nodes use for one another.
     CHECK_EQUAL(7000, read.seeds.at(0).port);
-    CHECK(read.stop_limit == std::chrono::seconds(8));
+    CHECK(read.stop_timeout == std::chrono::seconds(8));
 }
 
 TEST(relay_settings, a_storage_node_listens_nowhere_for_callers)
--- a/tests/settings/settings_loader_test.cpp
+++ b/tests/settings/settings_loader_test.cpp
@@ -35,11 +35,11 @@
     return problems == nullptr ? findings{} : *problems;
 }
 
-void check_one_problem(const std::string& text, const char* place)
+void check_one_problem(const std::string& text, const char* location)
 {
     const findings problems = problems_of(text);
     LONGS_EQUAL(1, problems.size());
-    STRCMP_CONTAINS(place, problems.front().place.c_str());
+    STRCMP_CONTAINS(location, problems.front().location.c_str());
 }
 
 } // namespace
