--- a/src/daemon/membership_module.cpp
+++ b/src/daemon/membership_module.cpp
@@ -79,9 +79,9 @@
     const auto& settings = this->context.settings;
     // Callers that keep a connection open learn from the last answers on it
     // that they have to ask for another address.
-    this->close_timer =
-        this->context.loop.call_after(settings.address_validity, [this]
-                                      { this->server.close_after_answers(); });
+    this->close_timer = this->context.loop.call_after(
+        settings.address_validity,
+        [this] { this->server.close_after_responses(); });
     this->drain_timer = this->context.loop.call_after(
         settings.address_validity + settings.leave_margin, std::move(done));
 }
--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -159,7 +159,7 @@
 {
     net::http_request request =
         this->adapter.watch_request(prefix, after, watch_wait);
-    request.probe_connection = true;
+    request.tcp_keepalive = true;
     ++this->counts.watches;
     this->send(
         request, watch_timeout,
--- a/src/net/connection_limits.hpp
+++ b/src/net/connection_limits.hpp
@@ -12,7 +12,7 @@
 {
     /// Longest head of a request; a longer one is answered with 431. As much as
     /// common servers take.
-    byte_count head{64 * 1024};
+    byte_count max_head{64 * 1024};
     /// Longest time from the first byte of a head to its last, answered with
     /// 408; zero for "no limit".
     duration head_timeout = duration::zero();
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -23,23 +23,23 @@
                                              callbacks hooks)
 {
     auto connection =
-        this->take_connection(target, request.allow_connection_reuse);
+        this->acquire_connection(target, request.allow_connection_reuse);
     const auto transfer = std::make_shared<detail::http_transfer>(
         *this, target, std::move(connection), std::move(hooks));
     transfer->start(request);
-    const std::weak_ptr<detail::http_transfer> observed = transfer;
+    const std::weak_ptr<detail::http_transfer> weak_transfer = transfer;
     return std::make_unique<http_call>(
-        [observed]
+        [weak_transfer]
         {
-            if (const auto kept = observed.lock())
+            if (const auto locked = weak_transfer.lock())
             {
-                kept->cancel();
+                locked->cancel();
             }
         });
 }
 
-void http_client::give_back(const endpoint& target,
-                            std::unique_ptr<detail::http_connection> connection)
+void http_client::return_connection(
+    const endpoint& target, std::unique_ptr<detail::http_connection> connection)
 {
     auto& connections = this->idle[target];
     if (connections.size() < max_idle_connections_per_target)
@@ -49,7 +49,7 @@
 }
 
 std::unique_ptr<detail::http_connection>
-http_client::take_connection(const endpoint& target, bool allow_reuse)
+http_client::acquire_connection(const endpoint& target, bool allow_reuse)
 {
     const auto found = this->idle.find(target);
     if (!allow_reuse || found == this->idle.end() || found->second.empty())
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -53,13 +53,13 @@
     send(const endpoint& target, const http_request& request, callbacks hooks);
 
     /// Called by transfers only.
-    void give_back(const endpoint& target,
-                   std::unique_ptr<detail::http_connection> connection);
+    void return_connection(const endpoint& target,
+                           std::unique_ptr<detail::http_connection> connection);
     event_loop& loop() { return this->loop_handle; }
 
 private:
     std::unique_ptr<detail::http_connection>
-    take_connection(const endpoint& target, bool allow_reuse);
+    acquire_connection(const endpoint& target, bool allow_reuse);
 
     event_loop& loop_handle;
     std::map<endpoint, std::vector<std::unique_ptr<detail::http_connection>>>
--- a/src/net/http_exchange.cpp
+++ b/src/net/http_exchange.cpp
@@ -29,15 +29,15 @@
                              http_request_head initial_head,
                              std::shared_ptr<const bool> server_closing)
     : request(handle), request_head(std::move(initial_head)),
-      closing(std::move(server_closing))
+      server_is_closing(std::move(server_closing))
 {
 }
 
 void http_exchange::stream_body(std::function<void(std::string_view)> callback,
-                                std::function<void()> at_end)
+                                std::function<void()> on_end)
 {
     this->piece_callback = std::move(callback);
-    this->end_callback = std::move(at_end);
+    this->end_callback = std::move(on_end);
 }
 
 void http_exchange::on_body(std::size_t limit,
@@ -46,7 +46,7 @@
     const auto body = std::make_shared<std::string>();
     this->piece_callback = [this, body, limit](std::string_view piece)
     {
-        if (this->answered)
+        if (this->responded)
         {
             return;
         }
@@ -63,7 +63,7 @@
     };
     this->end_callback = [this, body, callback = std::move(callback)]
     {
-        if (!this->answered)
+        if (!this->responded)
         {
             callback(std::move(*body));
         }
@@ -89,18 +89,18 @@
 void http_exchange::respond(int status, const http_header_list& headers,
                             std::string_view body)
 {
-    if (this->answered || this->streaming)
+    if (this->responded || this->streaming)
     {
         return;
     }
-    this->answered = true;
+    this->responded = true;
     if (!this->body_complete)
     {
-        this->held = std::make_unique<held_response>(
-            held_response{status, headers, std::string(body)});
+        this->deferred = std::make_unique<deferred_response>(
+            deferred_response{status, headers, std::string(body)});
         return;
     }
-    this->send_whole(status, headers, body);
+    this->send_response(status, headers, body);
 }
 
 void http_exchange::respond_json(int status, std::string_view body)
@@ -108,22 +108,22 @@
     this->respond(status, {{"Content-Type", "application/json"}}, body);
 }
 
-void http_exchange::send_whole(int status, const http_header_list& headers,
-                               std::string_view body)
+void http_exchange::send_response(int status, const http_header_list& headers,
+                                  std::string_view body)
 {
     if (this->request == nullptr)
     {
         return;
     }
-    this->begin_answer(headers);
+    this->begin_response(headers);
     evbuffer_add(this->request->buffer_out, body.data(), body.size());
     evhtp_send_reply(this->request, static_cast<evhtp_res>(status));
 }
 
-void http_exchange::begin_answer(const http_header_list& headers)
+void http_exchange::begin_response(const http_header_list& headers)
 {
     add_headers(this->request, headers);
-    if (*this->closing)
+    if (*this->server_is_closing)
     {
         add_headers(this->request, {{"Connection", "close"}});
         evhtp_request_set_keepalive(this->request, 0);
@@ -132,18 +132,18 @@
 
 void http_exchange::start_stream(int status, const http_header_list& headers)
 {
-    if (this->request == nullptr || this->answered || this->streaming)
+    if (this->request == nullptr || this->responded || this->streaming)
     {
         return;
     }
     this->streaming = true;
-    this->begin_answer(headers);
+    this->begin_response(headers);
     evhtp_send_reply_chunk_start(this->request, static_cast<evhtp_res>(status));
 }
 
 void http_exchange::write_chunk(std::string_view data)
 {
-    if (this->request == nullptr || !this->streaming || this->answered ||
+    if (this->request == nullptr || !this->streaming || this->responded ||
         data.empty())
     {
         return;
@@ -156,11 +156,11 @@
 
 void http_exchange::finish_stream()
 {
-    if (!this->streaming || this->answered)
+    if (!this->streaming || this->responded)
     {
         return;
     }
-    this->answered = true;
+    this->responded = true;
     if (this->request != nullptr)
     {
         evhtp_send_reply_chunk_end(this->request);
@@ -169,7 +169,7 @@
 
 void http_exchange::abort()
 {
-    this->answered = true;
+    this->responded = true;
     if (this->request == nullptr)
     {
         return;
@@ -182,7 +182,7 @@
 
 bool http_exchange::is_open() const
 {
-    return this->request != nullptr && !this->answered;
+    return this->request != nullptr && !this->responded;
 }
 
 std::size_t http_exchange::pending_output_bytes() const
@@ -211,10 +211,11 @@
 void http_exchange::receive_end()
 {
     this->body_complete = true;
-    if (this->held)
+    if (this->deferred)
     {
-        const auto response = std::move(this->held);
-        this->send_whole(response->status, response->headers, response->body);
+        const auto response = std::move(this->deferred);
+        this->send_response(response->status, response->headers,
+                            response->body);
         return;
     }
     if (this->end_callback)
@@ -230,8 +231,8 @@
         return;
     }
     this->request = nullptr;
-    const bool was_waiting = !this->answered;
-    this->answered = true;
+    const bool was_waiting = !this->responded;
+    this->responded = true;
     // Callbacks may hold references to this object, so they are let go here.
     this->piece_callback = nullptr;
     this->end_callback = nullptr;
--- a/src/net/http_exchange.hpp
+++ b/src/net/http_exchange.hpp
@@ -32,9 +32,9 @@
     /// server's handler; without it the body is collected for on_body().
     ///
     /// \param callback Gets each piece.
-    /// \param at_end Called once the body is complete.
+    /// \param on_end Called once the body is complete.
     void stream_body(std::function<void(std::string_view)> callback,
-                     std::function<void()> at_end);
+                     std::function<void()> on_end);
 
     /// Collects the body and passes it on when it is complete. To be called
     /// from the server's handler.
@@ -87,27 +87,27 @@
     void detach();
 
 private:
-    struct held_response
+    struct deferred_response
     {
         int status = 0;
         http_header_list headers;
         std::string body;
     };
 
-    void send_whole(int status, const http_header_list& headers,
-                    std::string_view body);
+    void send_response(int status, const http_header_list& headers,
+                       std::string_view body);
 
-    void begin_answer(const http_header_list& headers);
+    void begin_response(const http_header_list& headers);
 
     evhtp_request* request = nullptr;
     http_request_head request_head;
-    std::shared_ptr<const bool> closing;
+    std::shared_ptr<const bool> server_is_closing;
     std::function<void(std::string_view)> piece_callback;
     std::function<void()> end_callback;
     std::function<void()> closed_callback;
-    std::unique_ptr<held_response> held;
+    std::unique_ptr<deferred_response> deferred;
     bool body_complete = false;
-    bool answered = false;
+    bool responded = false;
     bool streaming = false;
 };
 
--- a/src/net/http_request.hpp
+++ b/src/net/http_request.hpp
@@ -29,10 +29,10 @@
     duration idle_timeout = duration::zero();
     /// Longest body that is collected; an answer with more is broken off. Twice
     /// what the store returns at most.
-    byte_count max_collected{2 * 1024 * 1024};
+    byte_count max_collected_body{2 * 1024 * 1024};
     /// Whether the connection is probed while nothing comes, so that one that
     /// has gone silent is noticed; for requests that wait long.
-    bool probe_connection = false;
+    bool tcp_keepalive = false;
     /// Whether an idle connection may carry it. A call that must not run twice
     /// takes a new connection, since then a failed connect is a proof that it
     /// was not sent.
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -29,7 +29,7 @@
 
 /// How often connections are held against their limits: a fraction of the
 /// shortest limits in use, which are seconds.
-constexpr duration check_interval = std::chrono::milliseconds(250);
+constexpr duration timeout_check_interval = std::chrono::milliseconds(250);
 
 evhtp_res on_accepted(evhtp_connection_t* connection, void* argument)
 {
@@ -96,14 +96,14 @@
     if (limits.head_timeout <= duration::zero() &&
         limits.idle_timeout <= duration::zero())
     {
-        this->check_timer.cancel();
+        this->timeout_check_timer.cancel();
         return;
     }
-    this->check_timer = this->loop.call_every(detail::check_interval, [this]
-                                              { this->check_connections(); });
+    this->timeout_check_timer = this->loop.call_every(
+        detail::timeout_check_interval, [this] { this->enforce_timeouts(); });
 }
 
-void http_server::check_connections()
+void http_server::enforce_timeouts()
 {
     const time_point now = event_loop::now();
     // A connection that is ended leaves the set.
@@ -111,7 +111,7 @@
         this->connections.begin(), this->connections.end());
     for (detail::server_connection* connection : checked)
     {
-        connection->check_time(now);
+        connection->enforce_timeouts(now);
     }
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -56,7 +56,7 @@
 
     /// Answers that are not begun yet close their connection, so that callers
     /// do not send more on it.
-    void close_after_answers() { *this->closing = true; }
+    void close_after_responses() { *this->closing = true; }
 
     /// \returns Requests that have not been answered to their end.
     std::size_t open_requests() const { return this->open_request_count; }
@@ -72,14 +72,14 @@
     void remove_connection(detail::server_connection& connection);
 
 private:
-    void check_connections();
+    void enforce_timeouts();
 
     event_loop& loop;
     std::unique_ptr<evhtp, detail::evhtp_deleter> server;
     handler request_handler;
     connection_limits current_limits;
     std::set<detail::server_connection*> connections;
-    timer check_timer;
+    timer timeout_check_timer;
     bool accepting = false;
     std::shared_ptr<bool> closing = std::make_shared<bool>(false);
     std::size_t open_request_count = 0;
--- a/src/net/http_transfer.cpp
+++ b/src/net/http_transfer.cpp
@@ -1,6 +1,6 @@
 #include "net/http_transfer.hpp"
 
-#include "net/connection_probe.hpp"
+#include "net/tcp_keepalive.hpp"
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -46,7 +46,7 @@
     return EVHTTP_REQ_POST;
 }
 
-bool keeps_connection(const http_response& response)
+bool allows_reuse(const http_response& response)
 {
     const std::string* field = find_header(response.headers, "Connection");
     return field == nullptr || strcasecmp(field->c_str(), "close") != 0;
@@ -80,36 +80,37 @@
     }
     evbuffer_add(evhttp_request_get_output_buffer(this->active),
                  request.body.data(), request.body.size());
-    const auto expire = [this](const char* what)
+    const auto timeout_handler = [this](const char* what)
     {
         return [this, what]
         {
-            this->fail(error_code::deadline_exceeded, this->ran_so_far(),
+            this->fail(error_code::deadline_exceeded, this->current_ran_state(),
                        std::string(what) + " of " + to_string(this->target) +
                            " did not come in time");
         };
     };
     event_loop& loop = this->client.loop();
-    this->probes_connection = request.probe_connection;
+    this->tcp_keepalive = request.tcp_keepalive;
     this->watch_output();
     if (request.total_timeout > duration::zero())
     {
-        this->total_timer =
-            loop.call_after(request.total_timeout, expire("the answer"));
+        this->total_timer = loop.call_after(request.total_timeout,
+                                            timeout_handler("the answer"));
     }
     if (request.connect_timeout > duration::zero())
     {
-        this->connect_timer = loop.call_after(request.connect_timeout,
-                                              [this] { this->check_sent(); });
+        this->connect_timer =
+            loop.call_after(request.connect_timeout,
+                            [this] { this->handle_connect_timeout(); });
     }
     if (request.head_timeout > duration::zero())
     {
-        this->head_timer =
-            loop.call_after(request.head_timeout, expire("the answer's head"));
+        this->head_timer = loop.call_after(
+            request.head_timeout, timeout_handler("the answer's head"));
     }
     this->idle_timeout = request.idle_timeout;
-    this->max_collected =
-        static_cast<std::size_t>(request.max_collected.count());
+    this->max_collected_body =
+        static_cast<std::size_t>(request.max_collected_body.count());
     const int outcome =
         evhttp_make_request(this->connection->handle(), this->active,
                             to_command(request.method), request.target.c_str());
@@ -118,10 +119,11 @@
         // The library has freed the request.
         this->active = nullptr;
         loop.post(
-            [kept = this->self]
+            [transfer = this->self]
             {
-                kept->fail(error_code::peer_unreachable, ran_state::no,
-                           "cannot connect to " + to_string(kept->target));
+                transfer->fail(error_code::peer_unreachable, ran_state::no,
+                               "cannot connect to " +
+                                   to_string(transfer->target));
             });
     }
 }
@@ -146,9 +148,9 @@
 void http_transfer::handle_first_byte()
 {
     this->sent = true;
-    if (this->probes_connection)
+    if (this->tcp_keepalive)
     {
-        probe_connection(bufferevent_getfd(
+        enable_tcp_keepalive(bufferevent_getfd(
             evhttp_connection_get_bufferevent(this->connection->handle())));
     }
 }
@@ -165,7 +167,7 @@
     }
 }
 
-void http_transfer::check_sent()
+void http_transfer::handle_connect_timeout()
 {
     if (!this->sent)
     {
@@ -175,7 +177,7 @@
     }
 }
 
-ran_state http_transfer::ran_so_far() const
+ran_state http_transfer::current_ran_state() const
 {
     return this->sent ? ran_state::unknown : ran_state::no;
 }
@@ -193,10 +195,10 @@
 
 int http_transfer::on_head(evhttp_request* request, void* argument)
 {
-    const auto kept = static_cast<http_transfer*>(argument)->self;
-    if (kept && !kept->ended)
+    const auto transfer = static_cast<http_transfer*>(argument)->self;
+    if (transfer && !transfer->ended)
     {
-        kept->read_head(request);
+        transfer->read_head(request);
     }
     return 0;
 }
@@ -209,7 +211,7 @@
     {
         return;
     }
-    this->head_seen = true;
+    this->head_received = true;
     this->head_timer.cancel();
     this->restart_idle_timer();
     this->response.status = status;
@@ -227,11 +229,11 @@
 
 void http_transfer::on_chunk(evhttp_request* request, void* argument)
 {
-    const auto kept = static_cast<http_transfer*>(argument)->self;
-    if (kept && !kept->ended)
+    const auto transfer = static_cast<http_transfer*>(argument)->self;
+    if (transfer && !transfer->ended)
     {
-        kept->restart_idle_timer();
-        kept->read_body(request);
+        transfer->restart_idle_timer();
+        transfer->read_body(request);
     }
 }
 
@@ -251,7 +253,7 @@
         return;
     }
     this->response.body += piece;
-    if (this->response.body.size() > this->max_collected)
+    if (this->response.body.size() > this->max_collected_body)
     {
         this->fail(error_code::connection_lost, ran_state::unknown,
                    "the answer of " + to_string(this->target) + " is too long");
@@ -261,45 +263,47 @@
 void http_transfer::on_error(evhttp_request_error, void* argument)
 {
     // The connection was open, so the request may have been read.
-    const auto kept = static_cast<http_transfer*>(argument)->self;
-    if (kept)
+    const auto transfer = static_cast<http_transfer*>(argument)->self;
+    if (transfer)
     {
-        kept->failed = true;
+        transfer->failed = true;
     }
 }
 
 void http_transfer::on_complete(evhttp_request* request, void* argument)
 {
-    const auto kept = static_cast<http_transfer*>(argument)->self;
-    if (!kept || kept->ended)
+    const auto transfer = static_cast<http_transfer*>(argument)->self;
+    if (!transfer || transfer->ended)
     {
         return;
     }
-    kept->active = nullptr;
-    if (request == nullptr || kept->failed)
+    transfer->active = nullptr;
+    if (request == nullptr || transfer->failed)
     {
-        kept->fail(error_code::connection_lost, kept->ran_so_far(),
-                   "the connection to " + to_string(kept->target) +
-                       " was lost before the end of the answer");
+        transfer->fail(error_code::connection_lost,
+                       transfer->current_ran_state(),
+                       "the connection to " + to_string(transfer->target) +
+                           " was lost before the end of the answer");
         return;
     }
     if (evhttp_request_get_response_code(request) == 0)
     {
-        kept->fail(error_code::peer_unreachable, kept->ran_so_far(),
-                   "cannot connect to " + to_string(kept->target));
+        transfer->fail(error_code::peer_unreachable,
+                       transfer->current_ran_state(),
+                       "cannot connect to " + to_string(transfer->target));
         return;
     }
-    if (!kept->head_seen)
+    if (!transfer->head_received)
     {
-        kept->read_head(request);
+        transfer->read_head(request);
     }
-    kept->read_body(request);
-    if (kept->ended)
+    transfer->read_body(request);
+    if (transfer->ended)
     {
         return;
     }
-    const bool reusable = keeps_connection(kept->response);
-    kept->end(std::move(kept->response), reusable);
+    const bool reusable = allows_reuse(transfer->response);
+    transfer->end(std::move(transfer->response), reusable);
 }
 
 void http_transfer::fail(error_code code, ran_state ran,
@@ -333,16 +337,16 @@
     // The library may be in the middle of a callback of this connection, so
     // it is freed or reused only afterwards.
     this->client.loop().post(
-        [kept = this->self, reusable]
+        [transfer = this->self, reusable]
         {
             if (reusable)
             {
-                kept->client.give_back(kept->target,
-                                       std::move(kept->connection));
+                transfer->client.return_connection(
+                    transfer->target, std::move(transfer->connection));
             }
-            kept->connection.reset();
-            kept->hooks = {};
-            kept->self.reset();
+            transfer->connection.reset();
+            transfer->hooks = {};
+            transfer->self.reset();
         });
 }
 
--- a/src/net/http_transfer.hpp
+++ b/src/net/http_transfer.hpp
@@ -40,8 +40,8 @@
     void restart_idle_timer();
     void watch_output();
     void handle_first_byte();
-    void check_sent();
-    ran_state ran_so_far() const;
+    void handle_connect_timeout();
+    ran_state current_ran_state() const;
 
     http_client& client;
     endpoint target;
@@ -49,7 +49,7 @@
     http_client::callbacks hooks;
     http_response response;
     duration idle_timeout = duration::zero();
-    std::size_t max_collected = 0;
+    std::size_t max_collected_body = 0;
     timer total_timer;
     timer connect_timer;
     timer head_timer;
@@ -59,8 +59,8 @@
     /// Whether any byte of the request was handed to the connection. The
     /// library does so only once the connection is open.
     bool sent = false;
-    bool probes_connection = false;
-    bool head_seen = false;
+    bool tcp_keepalive = false;
+    bool head_received = false;
     bool failed = false;
     bool ended = false;
     // The library still refers to this transfer until its last callback.
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -20,15 +20,15 @@
 {
 
 constexpr std::string_view head_end = "\r\n\r\n";
-constexpr std::string_view head_too_long =
+constexpr std::string_view head_too_large_response =
     "HTTP/1.1 431 Request Header Fields Too Large\r\n"
     "Content-Length: 0\r\nConnection: close\r\n\r\n";
-constexpr std::string_view request_too_slow =
+constexpr std::string_view request_timeout_response =
     "HTTP/1.1 408 Request Timeout\r\n"
     "Content-Length: 0\r\nConnection: close\r\n\r\n";
 /// How long a connection whose request was refused may stay open, so that the
 /// caller can read the answer before a reset. Several round trips.
-constexpr timeval refused_timeout{1, 0};
+constexpr timeval refused_connection_timeout{1, 0};
 
 /// The library takes hooks of all kinds as one type.
 template <class Hook>
@@ -221,34 +221,35 @@
         this->waiting_since = event_loop::now();
     }
     const auto limit =
-        static_cast<std::size_t>(this->owner.limits().head.count());
+        static_cast<std::size_t>(this->owner.limits().max_head.count());
     const evbuffer_ptr end =
         evbuffer_search(input, head_end.data(), head_end.size(), nullptr);
     const std::size_t length = end.pos >= 0 ? static_cast<std::size_t>(end.pos)
                                             : evbuffer_get_length(input);
     if (length > limit)
     {
-        this->refuse(head_too_long);
+        this->refuse(head_too_large_response);
         return false;
     }
     return end.pos >= 0;
 }
 
-void server_connection::refuse(std::string_view answer)
+void server_connection::refuse(std::string_view response)
 {
     log_event(log_level::info, "caller_refused",
-              {{"answer", std::string(answer.substr(0, answer.find('\r')))},
+              {{"answer", std::string(response.substr(0, response.find('\r')))},
                {"waited_ms",
                 to_milliseconds(event_loop::now() - this->waiting_since)}});
     this->refused = true;
     this->end_exchange();
     evbuffer* input = bufferevent_get_input(this->link);
     evbuffer_drain(input, evbuffer_get_length(input));
-    bufferevent_write(this->link, answer.data(), answer.size());
-    bufferevent_set_timeouts(this->link, &refused_timeout, &refused_timeout);
+    bufferevent_write(this->link, response.data(), response.size());
+    bufferevent_set_timeouts(this->link, &refused_connection_timeout,
+                             &refused_connection_timeout);
 }
 
-void server_connection::check_time(time_point now)
+void server_connection::enforce_timeouts(time_point now)
 {
     if (this->refused || (this->has_request && this->body_complete))
     {
@@ -264,7 +265,7 @@
     }
     if (this->has_request || reads_head)
     {
-        this->refuse(request_too_slow);
+        this->refuse(request_timeout_response);
         return;
     }
     this->close();
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -29,7 +29,7 @@
     server_connection& operator=(const server_connection&) = delete;
 
     /// Ends the connection if its caller has taken too long.
-    void check_time(time_point now);
+    void enforce_timeouts(time_point now);
 
     /// Called by the library's hooks only.
     void handle_readable();
@@ -45,7 +45,7 @@
     server_connection(http_server& server, evhtp_connection_t* handle);
 
     bool may_read();
-    void refuse(std::string_view answer);
+    void refuse(std::string_view response);
     void end_exchange();
     void close();
 
--- a/src/net/connection_probe.cpp
+++ b/src/net/tcp_keepalive.cpp
@@ -1,4 +1,4 @@
-#include "net/connection_probe.hpp"
+#include "net/tcp_keepalive.hpp"
 
 #include "logging/log.hpp"
 
@@ -16,10 +16,10 @@
 
 // Seconds of silence before the first probe, seconds between probes, and
 // probes without an answer that end the connection.
-constexpr int idle_s = 1;
-constexpr int interval_s = 1;
-constexpr int probes = 2;
-constexpr int unacknowledged_ms = 3000;
+constexpr int keepalive_idle_s = 1;
+constexpr int keepalive_interval_s = 1;
+constexpr int keepalive_probe_count = 2;
+constexpr int unacknowledged_timeout_ms = 3000;
 
 bool set_option(int descriptor, int level, int name, int value)
 {
@@ -28,16 +28,18 @@
 
 } // namespace
 
-void probe_connection(int descriptor)
+void enable_tcp_keepalive(int descriptor)
 {
-    const bool done =
+    const bool enabled =
         set_option(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1) &&
-        set_option(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, idle_s) &&
-        set_option(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, interval_s) &&
-        set_option(descriptor, IPPROTO_TCP, TCP_KEEPCNT, probes) &&
+        set_option(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_s) &&
+        set_option(descriptor, IPPROTO_TCP, TCP_KEEPINTVL,
+                   keepalive_interval_s) &&
+        set_option(descriptor, IPPROTO_TCP, TCP_KEEPCNT,
+                   keepalive_probe_count) &&
         set_option(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
-                   unacknowledged_ms);
-    if (!done)
+                   unacknowledged_timeout_ms);
+    if (!enabled)
     {
         log_event(log_level::warning, "connection_not_probed",
                   {{"errno", errno}});
--- a/src/net/connection_probe.hpp
+++ b/src/net/tcp_keepalive.hpp
@@ -7,6 +7,6 @@
 /// about three seconds of silence.
 ///
 /// \param descriptor A connected TCP socket.
-void probe_connection(int descriptor);
+void enable_tcp_keepalive(int descriptor);
 
 } // namespace parsleytrack::net
--- a/src/relay/relay_node.cpp
+++ b/src/relay/relay_node.cpp
@@ -292,7 +292,7 @@
     this->stop.emplace(net::event_loop::now(), this->settings.address_validity,
                        this->settings.stop_limit);
     this->group.announce_leaving();
-    this->front.close_after_answers();
+    this->front.close_after_responses();
     this->jobs.stop();
     this->stop_timer = this->loop.call_every(stop_poll_interval,
                                              [this] { this->advance_stop(); });
--- a/src/wire/codec_impl.hpp
+++ b/src/wire/codec_impl.hpp
@@ -25,13 +25,13 @@
 constexpr std::int32_t max_container_elements = 256 * 1024;
 
 /// \param size The size of the message in bytes.
-/// \param most A limit that holds for every message.
+/// \param upper_limit A limit that holds for every message.
 /// \returns The limit for lengths and counts in the message: each element
 /// takes at least one byte. Never 0, which Thrift takes for "no limit".
-inline std::int32_t length_limit(std::size_t size, std::int32_t most)
+inline std::int32_t length_limit(std::size_t size, std::int32_t upper_limit)
 {
-    return static_cast<std::int32_t>(
-        std::clamp<std::size_t>(size, 1, static_cast<std::size_t>(most)));
+    return static_cast<std::int32_t>(std::clamp<std::size_t>(
+        size, 1, static_cast<std::size_t>(upper_limit)));
 }
 
 using apache::thrift::transport::TMemoryBuffer;
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -1,6 +1,6 @@
 #include "wire/peer_connection.hpp"
 
-#include "net/connection_probe.hpp"
+#include "net/tcp_keepalive.hpp"
 #include "wire/codec.hpp"
 #include "wire/failure_conversion.hpp"
 #include "wire/generated/frame_types.h"
@@ -24,7 +24,7 @@
 namespace
 {
 
-constexpr std::size_t length_bytes = 4;
+constexpr std::size_t length_prefix_bytes = 4;
 constexpr std::uint32_t max_frame_bytes = 32 * 1024 * 1024;
 
 void set_no_delay(int descriptor)
@@ -59,13 +59,13 @@
     if (descriptor >= 0)
     {
         set_no_delay(descriptor);
-        net::probe_connection(descriptor);
+        net::enable_tcp_keepalive(descriptor);
     }
 }
 
 void peer_connection::connect(const endpoint& target)
 {
-    this->description = to_string(target);
+    this->peer_address = to_string(target);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(target.port);
@@ -116,10 +116,10 @@
     const std::uint32_t length =
         htonl(static_cast<std::uint32_t>(bytes.size()));
     evbuffer* output = bufferevent_get_output(this->link.get());
-    evbuffer_add(output, &length, length_bytes);
+    evbuffer_add(output, &length, length_prefix_bytes);
     evbuffer_add(output, bytes.data(), bytes.size());
     this->network.mutable_counters().frame_bytes_sent +=
-        length_bytes + bytes.size();
+        length_prefix_bytes + bytes.size();
 }
 
 std::size_t peer_connection::pending_output_bytes() const
@@ -129,27 +129,27 @@
 
 void peer_connection::handle_input()
 {
-    const auto kept = this->shared_from_this();
+    const auto self = this->shared_from_this();
     evbuffer* input = bufferevent_get_input(this->link.get());
-    while (!this->closed && evbuffer_get_length(input) >= length_bytes)
+    while (!this->closed && evbuffer_get_length(input) >= length_prefix_bytes)
     {
         std::uint32_t length = 0;
-        evbuffer_copyout(input, &length, length_bytes);
+        evbuffer_copyout(input, &length, length_prefix_bytes);
         length = ntohl(length);
         if (length > max_frame_bytes)
         {
             this->close("a frame is too long");
             return;
         }
-        if (evbuffer_get_length(input) < length_bytes + length)
+        if (evbuffer_get_length(input) < length_prefix_bytes + length)
         {
             return;
         }
-        evbuffer_drain(input, length_bytes);
+        evbuffer_drain(input, length_prefix_bytes);
         std::string bytes(length, '\0');
         evbuffer_remove(input, bytes.data(), length);
         this->network.mutable_counters().frame_bytes_received +=
-            length_bytes + length;
+            length_prefix_bytes + length;
         result<frame> message = decode<frame>(bytes);
         if (message.has_error())
         {
@@ -162,12 +162,12 @@
 
 void peer_connection::handle_event(short events)
 {
-    const auto kept = this->shared_from_this();
+    const auto self = this->shared_from_this();
     if ((events & BEV_EVENT_CONNECTED) != 0)
     {
         this->connected = true;
         set_no_delay(bufferevent_getfd(this->link.get()));
-        net::probe_connection(bufferevent_getfd(this->link.get()));
+        net::enable_tcp_keepalive(bufferevent_getfd(this->link.get()));
         return;
     }
     this->close("the connection was lost");
@@ -188,7 +188,7 @@
         {
             const auto exchange = std::move(found->second);
             this->exchanges.erase(found);
-            exchange->cancelled();
+            exchange->handle_cancel();
         }
         return;
     }
@@ -227,7 +227,7 @@
                            exchange);
 }
 
-void peer_connection::forget_exchange(std::int64_t call_id)
+void peer_connection::remove_exchange(std::int64_t call_id)
 {
     this->exchanges.erase(call_id);
 }
@@ -258,13 +258,13 @@
         call.timeout,
         [this, call_id]
         {
-            const auto kept = this->shared_from_this();
+            const auto self = this->shared_from_this();
             frame message;
             message.call_id = call_id;
             message.kind = frame_kind::cancel;
             this->send(message);
             this->finish_call(call_id, error{error_code::deadline_exceeded,
-                                             "node " + this->description +
+                                             "node " + this->peer_address +
                                                  " did not answer in time",
                                              ran_state::unknown,
                                              {}});
@@ -278,14 +278,14 @@
         return;
     }
     this->closed = true;
-    const auto kept = this->shared_from_this();
+    const auto self = this->shared_from_this();
     bufferevent_disable(this->link.get(), EV_READ | EV_WRITE);
-    this->network.connection_closed(*this);
+    this->network.handle_connection_closed(*this);
     const auto open_exchanges = std::move(this->exchanges);
     this->exchanges.clear();
     for (const auto& [call_id, exchange] : open_exchanges)
     {
-        exchange->cancelled();
+        exchange->handle_cancel();
     }
     std::vector<std::int64_t> open_calls;
     for (const auto& [call_id, call] : this->calls)
@@ -294,7 +294,7 @@
     }
     const error reason{this->connected ? error_code::connection_lost
                                        : error_code::peer_unreachable,
-                       "node " + this->description + ": " + why,
+                       "node " + this->peer_address + ": " + why,
                        this->connected ? ran_state::unknown : ran_state::no,
                        {}};
     for (const std::int64_t call_id : open_calls)
@@ -302,7 +302,7 @@
         this->finish_call(call_id, reason);
     }
     // The link is freed outside of its own callback.
-    this->network.loop().post([kept] { kept->link.reset(); });
+    this->network.loop().post([self] { self->link.reset(); });
 }
 
 } // namespace parsleytrack::wire::detail
--- a/src/wire/peer_connection.hpp
+++ b/src/wire/peer_connection.hpp
@@ -49,7 +49,7 @@
     void close(const std::string& why);
 
     /// The call has been answered by this side.
-    void forget_exchange(std::int64_t call_id);
+    void remove_exchange(std::int64_t call_id);
 
     /// \returns Bytes that wait to be sent.
     std::size_t pending_output_bytes() const;
@@ -74,7 +74,7 @@
     std::map<std::int64_t, pending_call> calls;
     std::map<std::int64_t, std::shared_ptr<peer_exchange>> exchanges;
     std::int64_t next_call_id = 1;
-    std::string description;
+    std::string peer_address;
     bool connected = false;
     bool closed = false;
 };
--- a/src/wire/peer_exchange.cpp
+++ b/src/wire/peer_exchange.cpp
@@ -28,15 +28,15 @@
     link->send(message);
     if (kind != frame_kind::part)
     {
-        link->forget_exchange(call_id);
+        link->remove_exchange(call_id);
     }
 }
 
 } // namespace
 
 peer_exchange::peer_exchange(std::weak_ptr<detail::peer_connection> link,
-                             std::int64_t number, std::string request_payload)
-    : connection(std::move(link)), call_id(number),
+                             std::int64_t id, std::string request_payload)
+    : connection(std::move(link)), call_id(id),
       payload(std::move(request_payload))
 {
 }
@@ -83,7 +83,7 @@
     this->cancel_callback = std::move(callback);
 }
 
-void peer_exchange::cancelled()
+void peer_exchange::handle_cancel()
 {
     if (this->ended)
     {
--- a/src/wire/peer_exchange.hpp
+++ b/src/wire/peer_exchange.hpp
@@ -21,8 +21,8 @@
 class peer_exchange
 {
 public:
-    peer_exchange(std::weak_ptr<detail::peer_connection> link,
-                  std::int64_t number, std::string request_payload);
+    peer_exchange(std::weak_ptr<detail::peer_connection> link, std::int64_t id,
+                  std::string request_payload);
 
     /// \returns The request's bytes.
     const std::string& request() const { return this->payload; }
@@ -46,7 +46,7 @@
     void on_cancelled(std::function<void()> callback);
 
     /// Called by the connection only.
-    void cancelled();
+    void handle_cancel();
 
 private:
     std::weak_ptr<detail::peer_connection> connection;
--- a/src/wire/peer_network.cpp
+++ b/src/wire/peer_network.cpp
@@ -41,7 +41,7 @@
     return endpoint{text.data(), ntohs(address.sin_port)};
 }
 
-error cannot_listen(const endpoint& address)
+error listen_error(const endpoint& address)
 {
     return error{error_code::bad_settings,
                  "cannot listen on " + to_string(address) + ": " +
@@ -85,15 +85,15 @@
 {
     // A free UDP port may be in use over TCP, so another one is taken then.
     const int attempts = address.port == 0 ? free_port_attempts : 1;
-    result<std::uint16_t> port = this->listen_once(address);
+    result<std::uint16_t> port = this->try_listen(address);
     for (int attempt = 1; attempt < attempts && port.has_error(); ++attempt)
     {
-        port = this->listen_once(address);
+        port = this->try_listen(address);
     }
     return port;
 }
 
-result<std::uint16_t> peer_network::listen_once(const endpoint& address)
+result<std::uint16_t> peer_network::try_listen(const endpoint& address)
 {
     const result<std::uint16_t> port = this->open_datagram_socket(address);
     if (port.has_error())
@@ -110,7 +110,7 @@
         reinterpret_cast<sockaddr*>(&bound), sizeof(bound)));
     if (!this->listener)
     {
-        const error reason = cannot_listen(address);
+        const error reason = listen_error(address);
         this->close_datagram_socket();
         return reason;
     }
@@ -126,7 +126,7 @@
     if (::bind(this->datagram_socket, reinterpret_cast<sockaddr*>(&bound),
                sizeof(bound)) != 0)
     {
-        return cannot_listen(address);
+        return listen_error(address);
     }
     this->datagram_event = event_new(
         this->loop_handle.base(), this->datagram_socket, EV_READ | EV_PERSIST,
@@ -155,11 +155,11 @@
     const auto connection = this->connect(target, lane_of(type));
     const std::int64_t call_id =
         connection->open_call(type, payload, timeout, std::move(hooks));
-    const std::weak_ptr<detail::peer_connection> observed = connection;
+    const std::weak_ptr<detail::peer_connection> weak_connection = connection;
     return std::make_unique<peer_call>(
-        [observed, call_id]
+        [weak_connection, call_id]
         {
-            if (const auto link = observed.lock())
+            if (const auto link = weak_connection.lock())
             {
                 link->cancel_call(call_id);
             }
@@ -185,7 +185,7 @@
     this->incoming[connection.get()] = connection;
 }
 
-void peer_network::connection_closed(detail::peer_connection& connection)
+void peer_network::handle_connection_closed(detail::peer_connection& connection)
 {
     this->incoming.erase(&connection);
     for (auto entry = this->outgoing.begin(); entry != this->outgoing.end();
--- a/src/wire/peer_network.hpp
+++ b/src/wire/peer_network.hpp
@@ -113,7 +113,7 @@
     /// Called by connections only.
     void dispatch(message_type type,
                   const std::shared_ptr<peer_exchange>& exchange);
-    void connection_closed(detail::peer_connection& connection);
+    void handle_connection_closed(detail::peer_connection& connection);
     net::event_loop& loop() { return this->loop_handle; }
     traffic& mutable_counters() { return this->traffic_counters; }
 
@@ -122,7 +122,7 @@
                                                      peer_lane lane);
     void accept(int descriptor);
     void read_datagrams();
-    result<std::uint16_t> listen_once(const endpoint& address);
+    result<std::uint16_t> try_listen(const endpoint& address);
     result<std::uint16_t> open_datagram_socket(const endpoint& address);
     void close_datagram_socket();
 
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr duration patience = std::chrono::seconds(5);
+constexpr duration max_wait = std::chrono::seconds(5);
 
 /// Opens a port that accepts, reads what comes first and closes.
 struct closing_listener
@@ -80,7 +80,7 @@
 
     void wait()
     {
-        const time_point limit = event_loop::now() + patience;
+        const time_point limit = event_loop::now() + max_wait;
         while (!this->outcome && event_loop::now() < limit)
         {
             this->loop.run_for(std::chrono::milliseconds(50));
@@ -184,7 +184,7 @@
             exchange->on_closed([&closed] { closed = true; });
         });
     auto call = this->send({});
-    const time_point limit = event_loop::now() + patience;
+    const time_point limit = event_loop::now() + max_wait;
     while (!closed && event_loop::now() < limit)
     {
         this->loop.run_for(std::chrono::milliseconds(10));
@@ -247,7 +247,7 @@
         return field == nullptr ? std::string() : *field;
     };
     STRCMP_EQUAL("", connection_field().c_str());
-    this->server.close_after_answers();
+    this->server.close_after_responses();
     STRCMP_EQUAL("close", connection_field().c_str());
     LONGS_EQUAL(0, this->server.open_requests());
 }
@@ -263,7 +263,7 @@
     request.connect_timeout = timeout;
     const auto call = this->send(request);
     int connection = -1;
-    const timer hold_up = this->loop.call_after(
+    const timer block_loop = this->loop.call_after(
         timeout / 2,
         [&listener, &connection]
         {
@@ -291,7 +291,7 @@
 {
 
 /// What a server has read of one request.
-struct read_request
+struct received_request
 {
     http_request_head head;
     std::string body;
@@ -322,7 +322,7 @@
 
 TEST_GROUP_BASE(split_request, TEST_GROUP_CppUTestGrouphttp)
 {
-    read_request seen;
+    received_request seen;
 
     /// Sends a request in two pieces, cut at each place in turn.
     void send_split(const std::string& text, const std::string& path,
@@ -342,12 +342,12 @@
             });
         for (std::size_t split = 1; split < text.size(); ++split)
         {
-            this->seen = read_request();
+            this->seen = received_request();
             const int link = connect_to(this->address);
             ::send(link, text.data(), split, 0);
             run_briefly(this->loop);
             ::send(link, text.data() + split, text.size() - split, 0);
-            const time_point limit = event_loop::now() + patience;
+            const time_point limit = event_loop::now() + max_wait;
             while (!this->seen.complete && event_loop::now() < limit)
             {
                 this->loop.run_for(std::chrono::milliseconds(1));
@@ -394,7 +394,7 @@
     text.resize(80'000, 'a');
     ::send(link, text.data(), text.size(), MSG_DONTWAIT);
     std::string answer(15, ' ');
-    const time_point limit = event_loop::now() + patience;
+    const time_point limit = event_loop::now() + max_wait;
     ssize_t length = -1;
     while (length < 0 && event_loop::now() < limit)
     {
--- a/tests/wire/peer_network_test.cpp
+++ b/tests/wire/peer_network_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr duration patience = std::chrono::seconds(5);
+constexpr duration max_wait = std::chrono::seconds(5);
 constexpr message_type any_type = message_type::gate_forward;
 
 } // namespace
@@ -48,7 +48,7 @@
     template <class Condition>
     void run_until(Condition condition)
     {
-        const time_point limit = net::event_loop::now() + patience;
+        const time_point limit = net::event_loop::now() + max_wait;
         while (!condition() && net::event_loop::now() < limit)
         {
             this->loop.run_for(std::chrono::milliseconds(20));
