--- a/src/daemon/load_slots.cpp
+++ b/src/daemon/load_slots.cpp
@@ -103,7 +103,7 @@
     {
         return;
     }
-    this->next_try = now + this->pauses.next(this->context.random);
+    this->next_try = now + this->pauses.next_delay(this->context.random);
     this->listing = true;
     this->context.store.list(
         this->prefix(), std::string(), most_slots,
--- a/src/feeds/merged_records.cpp
+++ b/src/feeds/merged_records.cpp
@@ -18,7 +18,7 @@
 std::optional<merged_records::change_list>
 merged_records::apply_listing(const key_value::record_listing& listing)
 {
-    if (listing.read_at < this->complete_to)
+    if (listing.read_revision < this->complete_to)
     {
         return std::nullopt;
     }
@@ -41,14 +41,14 @@
     }
     if (this->complete_to == store_revision())
     {
-        this->erased_since = listing.read_at;
+        this->erased_since = listing.read_revision;
     }
-    this->complete_to = listing.read_at;
+    this->complete_to = listing.read_revision;
     for (const auto& [key, record] : before)
     {
-        this->erase(key, listing.read_at);
+        this->erase(key, listing.read_revision);
         changes.push_back(
-            {key_value::stored_record{key, {}, listing.read_at}, true});
+            {key_value::stored_record{key, {}, listing.read_revision}, true});
     }
     return changes;
 }
@@ -98,7 +98,7 @@
     {
         listing.records.push_back(record);
     }
-    listing.read_at = this->complete_to;
+    listing.read_revision = this->complete_to;
     return listing;
 }
 
--- a/src/feeds/record_feed.cpp
+++ b/src/feeds/record_feed.cpp
@@ -160,7 +160,7 @@
     {
         found->second.healthy = true;
         key_value::record_listing listing;
-        listing.read_at = message.value().position;
+        listing.read_revision = message.value().position;
         for (key_value::record_change& change : message.value().records)
         {
             listing.records.push_back(std::move(change.record));
@@ -247,7 +247,7 @@
     }
     first.what = feed_message::kind::all;
     const key_value::record_listing all = this->records.all();
-    first.position = all.read_at;
+    first.position = all.read_revision;
     for (const key_value::stored_record& record : all.records)
     {
         first.records.push_back({record, false});
@@ -266,7 +266,7 @@
     }
     const bool recovered = std::exchange(this->failing, false);
     const bool lost = std::exchange(this->source_failed, false);
-    this->hooks.on_all(listing, after_failure || recovered || lost);
+    this->hooks.on_listing(listing, after_failure || recovered || lost);
     if (!changes->empty())
     {
         this->publisher.send(
@@ -292,7 +292,7 @@
 {
     if (std::exchange(this->failing, false))
     {
-        this->hooks.on_all(this->records.all(), true);
+        this->hooks.on_listing(this->records.all(), true);
     }
 }
 
--- a/src/key_value/backoff.cpp
+++ b/src/key_value/backoff.cpp
@@ -5,16 +5,16 @@
 namespace parsleytrack::key_value
 {
 
-backoff::backoff(duration first_step, duration longest_step)
-    : first(first_step), limit(longest_step), step(first_step)
+backoff::backoff(duration initial, duration longest)
+    : initial_delay(initial), max_delay(longest), current_delay(initial)
 {
 }
 
-duration backoff::next(random_source& random)
+duration backoff::next_delay(random_source& random)
 {
-    const duration::rep whole = this->step.count();
-    std::uniform_int_distribution<duration::rep> draw(whole / 2, whole);
-    this->step = std::min(this->limit, this->step * 2);
+    const duration::rep delay_us = this->current_delay.count();
+    std::uniform_int_distribution<duration::rep> draw(delay_us / 2, delay_us);
+    this->current_delay = std::min(this->max_delay, this->current_delay * 2);
     return duration(draw(random));
 }
 
--- a/src/key_value/backoff.hpp
+++ b/src/key_value/backoff.hpp
@@ -13,18 +13,18 @@
 public:
     /// \param first The longest first delay.
     /// \param limit The longest delay of all.
-    backoff(duration first, duration limit);
+    backoff(duration initial_delay, duration max_delay);
 
     /// \returns The next delay, between half of the step and the whole step.
-    duration next(random_source& random);
+    duration next_delay(random_source& random);
 
     /// Starts over after a success.
-    void reset() { this->step = this->first; }
+    void reset() { this->current_delay = this->initial_delay; }
 
 private:
-    duration first;
-    duration limit;
-    duration step;
+    duration initial_delay;
+    duration max_delay;
+    duration current_delay;
 };
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/base64.cpp
+++ b/src/key_value/base64.cpp
@@ -23,21 +23,21 @@
 {
     std::string text;
     text.reserve((bytes.size() + 2) / 3 * digits_per_group);
-    std::uint32_t held = 0;
-    unsigned held_bits = 0;
+    std::uint32_t buffer = 0;
+    unsigned buffered_bits = 0;
     for (const char byte : bytes)
     {
-        held = (held << bits_per_byte) | static_cast<std::uint8_t>(byte);
-        held_bits += bits_per_byte;
-        while (held_bits >= bits_per_digit)
+        buffer = (buffer << bits_per_byte) | static_cast<std::uint8_t>(byte);
+        buffered_bits += bits_per_byte;
+        while (buffered_bits >= bits_per_digit)
         {
-            held_bits -= bits_per_digit;
-            text.push_back(alphabet[(held >> held_bits) & digit_mask]);
+            buffered_bits -= bits_per_digit;
+            text.push_back(alphabet[(buffer >> buffered_bits) & digit_mask]);
         }
     }
-    if (held_bits > 0)
+    if (buffered_bits > 0)
     {
-        const std::uint32_t rest = held << (bits_per_digit - held_bits);
+        const std::uint32_t rest = buffer << (bits_per_digit - buffered_bits);
         text.push_back(alphabet[rest & digit_mask]);
     }
     while (text.size() % digits_per_group != 0)
@@ -55,8 +55,8 @@
     }
     std::string bytes;
     bytes.reserve(text.size() * 3 / digits_per_group);
-    std::uint32_t held = 0;
-    unsigned held_bits = 0;
+    std::uint32_t buffer = 0;
+    unsigned buffered_bits = 0;
     for (const char digit : text)
     {
         const std::size_t value = alphabet.find(digit);
@@ -64,12 +64,13 @@
         {
             return std::nullopt;
         }
-        held = (held << bits_per_digit) | static_cast<std::uint32_t>(value);
-        held_bits += bits_per_digit;
-        if (held_bits >= bits_per_byte)
+        buffer = (buffer << bits_per_digit) | static_cast<std::uint32_t>(value);
+        buffered_bits += bits_per_digit;
+        if (buffered_bits >= bits_per_byte)
         {
-            held_bits -= bits_per_byte;
-            bytes.push_back(static_cast<char>((held >> held_bits) & byte_mask));
+            buffered_bits -= bits_per_byte;
+            bytes.push_back(
+                static_cast<char>((buffer >> buffered_bits) & byte_mask));
         }
     }
     return bytes;
--- a/src/key_value/call_end.hpp
+++ b/src/key_value/call_outcome.hpp
@@ -10,21 +10,21 @@
 {
 
 /// How one HTTP call to the store ended.
-struct call_end
+struct call_outcome
 {
-    enum class kind
+    enum class status_kind
     {
         /// Answered with 200.
-        answered,
+        succeeded,
         /// Answered with an error that repeating will not cure.
-        refused,
+        rejected,
         /// Not sent; repeating may help.
         not_sent,
         /// Sent, and it is not known whether it took effect.
-        lost
+        unknown
     };
 
-    kind how = kind::not_sent;
+    status_kind status = status_kind::not_sent;
     std::string body;
     /// Set unless answered.
     error reason;
@@ -32,6 +32,6 @@
 
 /// \param outcome How the HTTP call ended.
 /// \returns What follows for the call to the store.
-call_end to_call_end(result<net::http_response> outcome);
+call_outcome to_call_outcome(result<net::http_response> http_result);
 
 } // namespace parsleytrack::key_value::detail
--- a/src/key_value/call_budget.cpp
+++ b/src/key_value/call_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "key_value/call_budget.hpp"
+#include "key_value/call_rate_limiter.hpp"
 
 #include "units/invariant.hpp"
 
@@ -15,36 +15,40 @@
 
 } // namespace
 
-call_budget::call_budget(int calls_per_s, std::size_t limit)
+call_rate_limiter::call_rate_limiter(int calls_per_s, std::size_t limit)
     : rate_per_us(std::max(1, calls_per_s) / microseconds_per_second),
       capacity(std::max(1, calls_per_s)), tokens(this->capacity),
       queue_limit(limit)
 {
 }
 
-call_budget::verdict call_budget::request(ticket id, call_lane lane,
-                                          time_point now)
+call_rate_limiter::decision
+call_rate_limiter::request(ticket id, call_priority priority, time_point now)
 {
     this->refill(now);
     if (this->waiting() == 0 && this->tokens >= 1)
     {
         this->tokens -= 1;
-        return verdict::start;
+        return decision::start;
     }
     // Urgent calls are few and bounded by what the node holds.
-    if (lane == call_lane::normal && this->normal.size() >= this->queue_limit)
+    if (priority == call_priority::normal &&
+        this->normal.size() >= this->queue_limit)
     {
-        return verdict::refuse;
+        return decision::reject;
     }
-    if (lane == call_lane::urgent && this->waiting() >= 2 * this->queue_limit)
+    if (priority == call_priority::urgent &&
+        this->waiting() >= 2 * this->queue_limit)
     {
-        return verdict::refuse;
+        return decision::reject;
     }
-    (lane == call_lane::urgent ? this->urgent : this->normal).push_back(id);
-    return verdict::wait;
+    (priority == call_priority::urgent ? this->urgent : this->normal)
+        .push_back(id);
+    return decision::wait;
 }
 
-std::optional<call_budget::ticket> call_budget::next(time_point now)
+std::optional<call_rate_limiter::ticket>
+call_rate_limiter::next_ready(time_point now)
 {
     this->refill(now);
     if (this->waiting() == 0 || this->tokens < 1)
@@ -59,7 +63,7 @@
     return id;
 }
 
-std::optional<duration> call_budget::wait_time(time_point now)
+std::optional<duration> call_rate_limiter::wait_time(time_point now)
 {
     this->refill(now);
     if (this->waiting() == 0)
@@ -71,13 +75,13 @@
         static_cast<duration::rep>(std::ceil(missing / this->rate_per_us)));
 }
 
-duration call_budget::backlog() const
+duration call_rate_limiter::queue_delay() const
 {
     const double calls = static_cast<double>(this->waiting()) + 1;
     return duration(static_cast<duration::rep>(calls / this->rate_per_us));
 }
 
-void call_budget::refill(time_point now)
+void call_rate_limiter::refill(time_point now)
 {
     if (this->refilled_at && now > *this->refilled_at)
     {
--- a/src/key_value/call_budget.hpp
+++ b/src/key_value/call_rate_limiter.hpp
@@ -11,7 +11,7 @@
 {
 
 /// How urgent a call to the store is.
-enum class call_lane
+enum class call_priority
 {
     /// Keeps something that would be lost otherwise, such as a lease.
     urgent,
@@ -20,36 +20,36 @@
 
 /// Spreads the calls of a node so that it stays under its rate: a token bucket
 /// with a bounded queue.
-class call_budget
+class call_rate_limiter
 {
 public:
     using ticket = std::uint64_t;
 
-    enum class verdict
+    enum class decision
     {
         start,
         wait,
-        refuse
+        reject
     };
 
     /// \param calls_per_s The rate; at least 1.
     /// \param queue_limit The most calls that wait.
-    call_budget(int calls_per_s, std::size_t queue_limit);
+    call_rate_limiter(int calls_per_s, std::size_t queue_limit);
 
     /// Asks for a call.
     ///
     /// \returns start: a token was taken; wait: next() will name the ticket;
     /// refuse: too many wait already.
-    verdict request(ticket id, call_lane lane, time_point now);
+    decision request(ticket id, call_priority priority, time_point now);
 
     /// \returns A waiting call that may start now; a token was taken for it.
-    std::optional<ticket> next(time_point now);
+    std::optional<ticket> next_ready(time_point now);
 
     /// \returns How long until next() names a call; nothing when none waits.
     std::optional<duration> wait_time(time_point now);
 
     /// \returns How long a call waits that is queued now, for Retry-After.
-    duration backlog() const;
+    duration queue_delay() const;
 
     std::size_t waiting() const
     {
--- a/src/key_value/etcd_messages.cpp
+++ b/src/key_value/etcd_messages.cpp
@@ -14,7 +14,7 @@
 
 using json = nlohmann::json;
 
-error unreadable(const char* what)
+error unreadable_response(const char* what)
 {
     return error{error_code::corrupt_data,
                  std::string("the store's answer to a ") + what +
@@ -57,9 +57,9 @@
 
 const json& member(const json& object, const char* name)
 {
-    static const json nothing = json::object();
+    static const json empty_object = json::object();
     const auto found = object.find(name);
-    return found == object.end() ? nothing : *found;
+    return found == object.end() ? empty_object : *found;
 }
 
 stored_key read_key(const json& object)
@@ -71,20 +71,20 @@
     return entry;
 }
 
-range_answer read_range(const json& object)
+range_response read_range(const json& object)
 {
-    range_answer answer;
-    answer.revision =
+    range_response parsed;
+    parsed.revision =
         store_revision(read_number(member(object, "header"), "revision"));
     for (const json& entry : member(object, "kvs"))
     {
-        answer.keys.push_back(read_key(entry));
+        parsed.keys.push_back(read_key(entry));
     }
-    answer.more = read_flag(object, "more");
-    return answer;
+    parsed.more = read_flag(object, "more");
+    return parsed;
 }
 
-json compare_of(const std::string& key, store_revision expected)
+json make_compare(const std::string& key, store_revision expected)
 {
     json compare{{"key", encode_base64(key)}, {"result", "EQUAL"}};
     if (expected == store_revision())
@@ -102,7 +102,7 @@
                              json operation)
 {
     const json body{
-        {"compare", json::array({compare_of(key, expected)})},
+        {"compare", json::array({make_compare(key, expected)})},
         {"success", json::array({std::move(operation)})},
         {"failure", json::array({json{
                         {"request_range", {{"key", encode_base64(key)}}}}})}};
@@ -110,8 +110,8 @@
 }
 
 // Reads a body with a function that may throw on a wrong type.
-template <class Answer, class Reader>
-result<Answer> read(std::string_view body, const char* what, Reader reader)
+template <class Response, class Reader>
+result<Response> read(std::string_view body, const char* what, Reader reader)
 {
     try
     {
@@ -119,13 +119,13 @@
     }
     catch (const std::exception&)
     {
-        return unreadable(what);
+        return unreadable_response(what);
     }
 }
 
 } // namespace
 
-std::string end_of_prefix(std::string prefix)
+std::string prefix_range_end(std::string prefix)
 {
     while (!prefix.empty() && prefix.back() == '\xff')
     {
@@ -189,24 +189,24 @@
 {
     return json{{"create_request",
                  {{"key", encode_base64(prefix)},
-                  {"range_end", encode_base64(end_of_prefix(prefix))}}}}
+                  {"range_end", encode_base64(prefix_range_end(prefix))}}}}
         .dump();
 }
 
-result<range_answer> parse_range(std::string_view body)
+result<range_response> parse_range(std::string_view body)
 {
-    return read<range_answer>(body, "range", read_range);
+    return read<range_response>(body, "range", read_range);
 }
 
-result<transaction_answer> parse_transaction(std::string_view body)
+result<transaction_response> parse_transaction(std::string_view body)
 {
-    return read<transaction_answer>(
+    return read<transaction_response>(
         body, "txn",
         [](const json& object)
         {
-            transaction_answer answer;
-            answer.succeeded = read_flag(object, "succeeded");
-            answer.revision = store_revision(
+            transaction_response parsed;
+            parsed.succeeded = read_flag(object, "succeeded");
+            parsed.revision = store_revision(
                 read_number(member(object, "header"), "revision"));
             for (const json& response : member(object, "responses"))
             {
@@ -214,50 +214,50 @@
                     read_range(member(response, "response_range")).keys;
                 if (!keys.empty())
                 {
-                    answer.current = keys.front();
+                    parsed.current = keys.front();
                 }
             }
-            return answer;
+            return parsed;
         });
 }
 
-result<lease_answer> parse_lease(std::string_view body)
+result<lease_response> parse_lease(std::string_view body)
 {
-    return read<lease_answer>(
+    return read<lease_response>(
         body, "lease call",
         [](const json& object)
         {
             // A keep-alive is answered as an element of a stream.
-            const json& answer =
+            const json& lease_object =
                 object.contains("result") ? object["result"] : object;
-            lease_answer lease;
-            lease.lease = store_lease(read_number(answer, "ID"));
-            lease.time_to_live =
-                std::chrono::seconds(read_number(answer, "TTL"));
-            return lease;
+            lease_response parsed;
+            parsed.lease = store_lease(read_number(lease_object, "ID"));
+            parsed.time_to_live =
+                std::chrono::seconds(read_number(lease_object, "TTL"));
+            return parsed;
         });
 }
 
-result<watch_answer> parse_watch(std::string_view line)
+result<watch_response> parse_watch(std::string_view line)
 {
-    return read<watch_answer>(
+    return read<watch_response>(
         line, "watch",
         [](const json& object)
         {
             const json& body =
                 object.contains("result") ? object["result"] : object;
-            watch_answer answer;
-            answer.created = read_flag(body, "created");
-            answer.cancelled =
+            watch_response parsed;
+            parsed.created = read_flag(body, "created");
+            parsed.cancelled =
                 read_flag(body, "canceled") || object.contains("error");
             for (const json& event : member(body, "events"))
             {
                 watch_event change;
                 change.deleted = event.value("type", "PUT") == "DELETE";
                 change.entry = read_key(member(event, "kv"));
-                answer.events.push_back(std::move(change));
+                parsed.events.push_back(std::move(change));
             }
-            return answer;
+            return parsed;
         });
 }
 
--- a/src/key_value/etcd_messages.hpp
+++ b/src/key_value/etcd_messages.hpp
@@ -23,7 +23,7 @@
     store_revision revision;
 };
 
-struct range_answer
+struct range_response
 {
     /// The store's revision when it answered.
     store_revision revision;
@@ -31,7 +31,7 @@
     bool more = false;
 };
 
-struct transaction_answer
+struct transaction_response
 {
     bool succeeded = false;
     store_revision revision;
@@ -39,7 +39,7 @@
     std::optional<stored_key> current;
 };
 
-struct lease_answer
+struct lease_response
 {
     store_lease lease;
     /// 0 when the lease does not exist.
@@ -52,7 +52,7 @@
     stored_key entry;
 };
 
-struct watch_answer
+struct watch_response
 {
     bool created = false;
     bool cancelled = false;
@@ -61,7 +61,7 @@
 
 /// \param prefix Any prefix.
 /// \returns The first key after all keys with the prefix.
-std::string end_of_prefix(std::string prefix);
+std::string prefix_range_end(std::string prefix);
 
 std::string get_body(const std::string& key);
 std::string range_body(const std::string& first, const std::string& end,
@@ -74,10 +74,10 @@
 std::string watch_body(const std::string& prefix);
 
 /// \returns The answer, or error_code::corrupt_data.
-result<range_answer> parse_range(std::string_view body);
-result<transaction_answer> parse_transaction(std::string_view body);
+result<range_response> parse_range(std::string_view body);
+result<transaction_response> parse_transaction(std::string_view body);
 /// Reads the answer to a grant or a keep-alive.
-result<lease_answer> parse_lease(std::string_view body);
-result<watch_answer> parse_watch(std::string_view line);
+result<lease_response> parse_lease(std::string_view body);
+result<watch_response> parse_watch(std::string_view line);
 
 } // namespace parsleytrack::key_value::detail
--- a/src/key_value/etcd_store.cpp
+++ b/src/key_value/etcd_store.cpp
@@ -1,7 +1,7 @@
 #include "key_value/etcd_store.hpp"
 
-#include "key_value/etcd_caller.hpp"
 #include "key_value/etcd_messages.hpp"
+#include "key_value/etcd_transport.hpp"
 #include "key_value/etcd_watch.hpp"
 #include "key_value/etcd_write.hpp"
 #include "key_value/value_reader.hpp"
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::size_t remembered_keys = 4096;
+constexpr std::size_t max_cached_keys = 4096;
 
 std::string make_write_id(random_source& random)
 {
@@ -44,10 +44,10 @@
     std::shared_ptr<detail::etcd_watch> watch;
 };
 
-error lease_error(const detail::call_end& end)
+error lease_error(const detail::call_outcome& outcome)
 {
-    error reason = end.reason;
-    if (end.how == detail::call_end::kind::refused)
+    error reason = outcome.reason;
+    if (outcome.status == detail::call_outcome::status_kind::rejected)
     {
         reason.code = error_code::lease_lost;
     }
@@ -55,22 +55,23 @@
 }
 
 // Ends a call that is answered with a lease.
-detail::etcd_caller::end_callback expect_lease(lease_callback callback)
+detail::etcd_transport::outcome_callback
+make_lease_handler(lease_callback callback)
 {
-    return [callback = std::move(callback)](const detail::call_end& end)
+    return [callback = std::move(callback)](const detail::call_outcome& outcome)
     {
-        if (end.how != detail::call_end::kind::answered)
+        if (outcome.status != detail::call_outcome::status_kind::succeeded)
         {
-            callback(lease_error(end));
+            callback(lease_error(outcome));
             return;
         }
-        const auto answer = detail::parse_lease(end.body);
-        if (answer.has_error())
+        const auto response = detail::parse_lease(outcome.body);
+        if (response.has_error())
         {
-            callback(answer.error());
+            callback(response.error());
             return;
         }
-        if (answer.value().time_to_live.count() <= 0)
+        if (response.value().time_to_live.count() <= 0)
         {
             callback(error{error_code::lease_lost,
                            "the lease has lapsed",
@@ -78,7 +79,7 @@
                            {}});
             return;
         }
-        callback(answer.value().lease);
+        callback(response.value().lease);
     };
 }
 
@@ -86,15 +87,16 @@
 
 struct etcd_store::state
 {
-    std::shared_ptr<detail::etcd_caller> caller;
+    std::shared_ptr<detail::etcd_transport> transport;
     std::shared_ptr<write_id_cache> write_ids =
-        std::make_shared<write_id_cache>(remembered_keys);
+        std::make_shared<write_id_cache>(max_cached_keys);
 
-    void write(detail::etcd_write::request wanted, swap_callback callback)
+    void write(detail::etcd_write::request write_request,
+               swap_callback callback)
     {
-        wanted.write_id = make_write_id(this->caller->random());
-        std::make_shared<detail::etcd_write>(this->caller, this->write_ids,
-                                             std::move(wanted),
+        write_request.write_id = make_write_id(this->transport->random());
+        std::make_shared<detail::etcd_write>(this->transport, this->write_ids,
+                                             std::move(write_request),
                                              std::move(callback))
             ->start();
     }
@@ -105,37 +107,37 @@
                        std::uint64_t seed)
     : contents(std::make_shared<state>())
 {
-    this->contents->caller = std::make_shared<detail::etcd_caller>(
+    this->contents->transport = std::make_shared<detail::etcd_transport>(
         event_loop, client, std::move(addresses), calls_per_s, seed);
 }
 
 etcd_store::~etcd_store()
 {
-    this->contents->caller->shut_down();
+    this->contents->transport->shut_down();
 }
 
 void etcd_store::get(const std::string& key, get_callback callback)
 {
-    this->contents->caller->post_repeatable(
-        "/v3/kv/range", detail::get_body(key), call_lane::normal,
+    this->contents->transport->post_idempotent(
+        "/v3/kv/range", detail::get_body(key), call_priority::normal,
         [ids = this->contents->write_ids,
-         callback = std::move(callback)](const detail::call_end& end)
+         callback = std::move(callback)](const detail::call_outcome& outcome)
         {
-            if (end.how != detail::call_end::kind::answered)
+            if (outcome.status != detail::call_outcome::status_kind::succeeded)
             {
-                callback(end.reason);
+                callback(outcome.reason);
                 return;
             }
-            const auto answer = detail::parse_range(end.body);
-            if (answer.has_error())
+            const auto response = detail::parse_range(outcome.body);
+            if (response.has_error())
             {
-                callback(answer.error());
+                callback(response.error());
                 return;
             }
             std::optional<versioned_value> value;
-            if (!answer.value().keys.empty())
+            if (!response.value().keys.empty())
             {
-                value = detail::read_value(answer.value().keys.front(), *ids);
+                value = detail::read_value(response.value().keys.front(), *ids);
             }
             callback(std::move(value));
         });
@@ -145,26 +147,26 @@
                       std::size_t limit, list_callback callback)
 {
     const std::string first = after.empty() ? prefix : after + '\0';
-    this->contents->caller->post_repeatable(
+    this->contents->transport->post_idempotent(
         "/v3/kv/range",
-        detail::range_body(first, detail::end_of_prefix(prefix), limit),
-        call_lane::normal,
+        detail::range_body(first, detail::prefix_range_end(prefix), limit),
+        call_priority::normal,
         [ids = this->contents->write_ids,
-         callback = std::move(callback)](const detail::call_end& end)
+         callback = std::move(callback)](const detail::call_outcome& outcome)
         {
-            if (end.how != detail::call_end::kind::answered)
+            if (outcome.status != detail::call_outcome::status_kind::succeeded)
             {
-                callback(end.reason);
+                callback(outcome.reason);
                 return;
             }
-            const auto answer = detail::parse_range(end.body);
-            if (answer.has_error())
+            const auto response = detail::parse_range(outcome.body);
+            if (response.has_error())
             {
-                callback(answer.error());
+                callback(response.error());
                 return;
             }
             std::vector<listed_value> values;
-            for (const detail::stored_key& entry : answer.value().keys)
+            for (const detail::stored_key& entry : response.value().keys)
             {
                 values.emplace_back(entry.key, detail::read_value(entry, *ids));
             }
@@ -192,30 +194,31 @@
 void etcd_store::grant_lease(duration time_to_live, lease_callback callback)
 {
     // A grant whose answer was lost leaves a lease behind that lapses unused.
-    this->contents->caller->post_repeatable(
-        "/v3/lease/grant", detail::grant_body(time_to_live), call_lane::urgent,
-        expect_lease(std::move(callback)));
+    this->contents->transport->post_idempotent(
+        "/v3/lease/grant", detail::grant_body(time_to_live),
+        call_priority::urgent, make_lease_handler(std::move(callback)));
 }
 
 void etcd_store::keep_alive(store_lease lease, lease_callback callback)
 {
-    this->contents->caller->post_repeatable(
-        "/v3/lease/keepalive", detail::lease_body(lease), call_lane::urgent,
-        expect_lease(std::move(callback)));
+    this->contents->transport->post_idempotent(
+        "/v3/lease/keepalive", detail::lease_body(lease), call_priority::urgent,
+        make_lease_handler(std::move(callback)));
 }
 
 void etcd_store::revoke(store_lease lease, lease_callback callback)
 {
-    this->contents->caller->post_repeatable(
-        "/v3/lease/revoke", detail::lease_body(lease), call_lane::normal,
-        [lease, callback = std::move(callback)](const detail::call_end& end)
+    this->contents->transport->post_idempotent(
+        "/v3/lease/revoke", detail::lease_body(lease), call_priority::normal,
+        [lease,
+         callback = std::move(callback)](const detail::call_outcome& outcome)
         {
-            if (end.how == detail::call_end::kind::answered)
+            if (outcome.status == detail::call_outcome::status_kind::succeeded)
             {
                 callback(lease);
                 return;
             }
-            callback(lease_error(end));
+            callback(lease_error(outcome));
         });
 }
 
@@ -223,7 +226,7 @@
                                                 watch_callback callback)
 {
     auto watch = std::make_shared<detail::etcd_watch>(
-        this->contents->caller, this->contents->write_ids, prefix,
+        this->contents->transport, this->contents->write_ids, prefix,
         std::move(callback));
     watch->start();
     return std::make_unique<owned_watch>(std::move(watch));
@@ -231,12 +234,12 @@
 
 bool etcd_store::is_reachable() const
 {
-    return this->contents->caller->is_reachable();
+    return this->contents->transport->is_reachable();
 }
 
 std::uint64_t etcd_store::calls_made() const
 {
-    return this->contents->caller->calls_made();
+    return this->contents->transport->calls_made();
 }
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/etcd_watch.cpp
+++ b/src/key_value/etcd_watch.cpp
@@ -11,20 +11,20 @@
 namespace
 {
 
-constexpr duration first_pause = std::chrono::milliseconds(200);
-constexpr duration longest_pause = std::chrono::seconds(5);
+constexpr duration initial_retry_delay = std::chrono::milliseconds(200);
+constexpr duration max_retry_delay = std::chrono::seconds(5);
 // A connection that was cut without a word is noticed after this silence.
-constexpr duration longest_silence = std::chrono::seconds(60);
-constexpr std::size_t page_keys = 500;
+constexpr duration stream_idle_timeout = std::chrono::seconds(60);
+constexpr std::size_t page_key_limit = 500;
 
 } // namespace
 
-etcd_watch::etcd_watch(std::shared_ptr<etcd_caller> calls,
+etcd_watch::etcd_watch(std::shared_ptr<etcd_transport> http_transport,
                        std::shared_ptr<write_id_cache> ids,
                        std::string key_prefix, watch_callback on_change)
-    : caller(std::move(calls)), write_ids(std::move(ids)),
+    : transport(std::move(http_transport)), write_ids(std::move(ids)),
       prefix(std::move(key_prefix)), callback(std::move(on_change)),
-      pauses(first_pause, longest_pause)
+      retry_backoff(initial_retry_delay, max_retry_delay)
 {
 }
 
@@ -43,38 +43,38 @@
 {
     if (this->stream)
     {
-        this->caller->close_soon(*this->stream);
+        this->transport->close_stream_later(*this->stream);
         this->stream.reset();
     }
 }
 
 void etcd_watch::open()
 {
-    ++this->opening;
-    this->unread.clear();
-    const std::weak_ptr<etcd_watch> observed = this->weak_from_this();
-    etcd_caller::stream_callbacks hooks;
-    const std::uint64_t current = this->opening;
-    hooks.on_piece = [observed, current](std::string_view piece)
-    {
-        const auto self = observed.lock();
-        if (self && !self->stopped && self->opening == current)
+    ++this->generation;
+    this->buffer.clear();
+    const std::weak_ptr<etcd_watch> weak_self = this->weak_from_this();
+    etcd_transport::stream_callbacks callbacks;
+    const std::uint64_t current = this->generation;
+    callbacks.on_piece = [weak_self, current](std::string_view piece)
+    {
+        const auto self = weak_self.lock();
+        if (self && !self->stopped && self->generation == current)
         {
             self->receive(piece);
         }
     };
-    hooks.on_end = [observed, current](const error&)
+    callbacks.on_end = [weak_self, current](const error&)
     {
-        const auto self = observed.lock();
-        if (self && !self->stopped && self->opening == current)
+        const auto self = weak_self.lock();
+        if (self && !self->stopped && self->generation == current)
         {
             self->stream.reset();
             self->reopen();
         }
     };
     this->stream =
-        this->caller->open_stream("/v3/watch", watch_body(this->prefix),
-                                  longest_silence, std::move(hooks));
+        this->transport->open_stream("/v3/watch", watch_body(this->prefix),
+                                     stream_idle_timeout, std::move(callbacks));
 }
 
 void etcd_watch::reopen()
@@ -84,52 +84,52 @@
         return;
     }
     this->close_stream();
-    ++this->opening;
-    const std::uint64_t current = this->opening;
-    const std::weak_ptr<etcd_watch> observed = this->weak_from_this();
-    this->caller->after(this->pauses.next(this->caller->random()),
-                        [observed, current]
-                        {
-                            const auto self = observed.lock();
-                            if (self && !self->stopped &&
-                                self->opening == current)
-                            {
-                                self->open();
-                            }
-                        });
+    ++this->generation;
+    const std::uint64_t current = this->generation;
+    const std::weak_ptr<etcd_watch> weak_self = this->weak_from_this();
+    this->transport->call_after(
+        this->retry_backoff.next_delay(this->transport->random()),
+        [weak_self, current]
+        {
+            const auto self = weak_self.lock();
+            if (self && !self->stopped && self->generation == current)
+            {
+                self->open();
+            }
+        });
 }
 
 void etcd_watch::receive(std::string_view piece)
 {
-    this->unread += piece;
-    std::size_t end = this->unread.find('\n');
-    while (end != std::string::npos && this->stream)
+    this->buffer += piece;
+    std::size_t line_end = this->buffer.find('\n');
+    while (line_end != std::string::npos && this->stream)
     {
-        const std::string line = this->unread.substr(0, end);
-        this->unread.erase(0, end + 1);
+        const std::string line = this->buffer.substr(0, line_end);
+        this->buffer.erase(0, line_end + 1);
         if (!line.empty())
         {
             this->handle_line(line);
         }
-        end = this->unread.find('\n');
+        line_end = this->buffer.find('\n');
     }
 }
 
 void etcd_watch::handle_line(std::string_view line)
 {
-    const auto answer = parse_watch(line);
-    if (answer.has_error() || answer.value().cancelled)
+    const auto response = parse_watch(line);
+    if (response.has_error() || response.value().cancelled)
     {
         this->reopen();
         return;
     }
-    if (answer.value().created)
+    if (response.value().created)
     {
         this->listed.clear();
-        this->deleted_meanwhile.clear();
+        this->deleted_during_listing.clear();
         this->list_from(this->prefix);
     }
-    for (const watch_event& event : answer.value().events)
+    for (const watch_event& event : response.value().events)
     {
         if (event.deleted)
         {
@@ -148,29 +148,29 @@
 
 void etcd_watch::list_from(const std::string& first)
 {
-    const std::weak_ptr<etcd_watch> observed = this->weak_from_this();
-    this->caller->post_repeatable(
+    const std::weak_ptr<etcd_watch> weak_self = this->weak_from_this();
+    this->transport->post_idempotent(
         "/v3/kv/range",
-        range_body(first, end_of_prefix(this->prefix), page_keys),
-        call_lane::normal,
-        [observed, current = this->opening](const call_end& end)
+        range_body(first, prefix_range_end(this->prefix), page_key_limit),
+        call_priority::normal,
+        [weak_self, current = this->generation](const call_outcome& outcome)
         {
-            const auto self = observed.lock();
-            if (self && !self->stopped && self->opening == current)
+            const auto self = weak_self.lock();
+            if (self && !self->stopped && self->generation == current)
             {
-                self->handle_page(end);
+                self->handle_page(outcome);
             }
         });
 }
 
-void etcd_watch::handle_page(const call_end& end)
+void etcd_watch::handle_page(const call_outcome& outcome)
 {
-    if (end.how != call_end::kind::answered)
+    if (outcome.status != call_outcome::status_kind::succeeded)
     {
         this->reopen();
         return;
     }
-    const auto page = parse_range(end.body);
+    const auto page = parse_range(outcome.body);
     if (page.has_error())
     {
         this->reopen();
@@ -178,8 +178,8 @@
     }
     for (const stored_key& entry : page.value().keys)
     {
-        const auto deleted = this->deleted_meanwhile.find(entry.key);
-        if (deleted != this->deleted_meanwhile.end() &&
+        const auto deleted = this->deleted_during_listing.find(entry.key);
+        if (deleted != this->deleted_during_listing.end() &&
             entry.revision < deleted->second)
         {
             continue;
@@ -195,21 +195,21 @@
         this->list_from(page.value().keys.back().key + '\0');
         return;
     }
-    this->pauses.reset();
-    this->report_deleted_since_listing();
+    this->retry_backoff.reset();
+    this->report_missing_keys();
 }
 
-void etcd_watch::report_deleted_since_listing()
+void etcd_watch::report_missing_keys()
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing_keys;
     for (const auto& [key, revision] : this->reported)
     {
         if (!this->listed.contains(key))
         {
-            gone.push_back(key);
+            missing_keys.push_back(key);
         }
     }
-    for (const std::string& key : gone)
+    for (const std::string& key : missing_keys)
     {
         this->reported.erase(key);
         this->callback(key, std::nullopt);
@@ -219,7 +219,7 @@
         }
     }
     this->listed.clear();
-    this->deleted_meanwhile.clear();
+    this->deleted_during_listing.clear();
 }
 
 void etcd_watch::report(const stored_key& entry)
@@ -243,7 +243,7 @@
     }
     this->reported.erase(key);
     this->listed.erase(key);
-    this->deleted_meanwhile[key] = revision;
+    this->deleted_during_listing[key] = revision;
     this->callback(key, std::nullopt);
 }
 
--- a/src/key_value/etcd_write.cpp
+++ b/src/key_value/etcd_write.cpp
@@ -10,71 +10,73 @@
 namespace
 {
 
-constexpr duration first_pause = std::chrono::milliseconds(60);
-constexpr duration longest_pause = std::chrono::seconds(1);
-constexpr duration patience = std::chrono::seconds(12);
+constexpr duration initial_retry_delay = std::chrono::milliseconds(60);
+constexpr duration max_retry_delay = std::chrono::seconds(1);
+constexpr duration write_timeout = std::chrono::seconds(12);
 
 } // namespace
 
-etcd_write::etcd_write(std::shared_ptr<etcd_caller> calls,
-                       std::shared_ptr<write_id_cache> ids, request what,
+etcd_write::etcd_write(std::shared_ptr<etcd_transport> http_transport,
+                       std::shared_ptr<write_id_cache> ids, request new_request,
                        swap_callback on_end)
-    : caller(std::move(calls)), write_ids(std::move(ids)),
-      wanted(std::move(what)), callback(std::move(on_end)),
-      pauses(first_pause, longest_pause),
-      give_up_at(net::event_loop::now() + patience)
+    : transport(std::move(http_transport)), write_ids(std::move(ids)),
+      write_request(std::move(new_request)), callback(std::move(on_end)),
+      retry_backoff(initial_retry_delay, max_retry_delay),
+      deadline(net::event_loop::now() + write_timeout)
 {
 }
 
 void etcd_write::start()
 {
-    const bool present = this->wanted.expected != store_revision();
-    if (!present || !has_envelope(this->wanted.key))
+    const bool present = this->write_request.expected != store_revision();
+    if (!present || !has_envelope(this->write_request.key))
     {
-        this->resolution.emplace(this->wanted.write_id, this->wanted.expected,
-                                 std::string());
+        this->resolution.emplace(this->write_request.write_id,
+                                 this->write_request.expected, std::string());
         this->send();
         return;
     }
-    const auto* known =
-        this->write_ids->find(this->wanted.key, this->wanted.expected);
-    if (known == nullptr)
+    const auto* cached_ids = this->write_ids->find(
+        this->write_request.key, this->write_request.expected);
+    if (cached_ids == nullptr)
     {
-        this->read_base();
+        this->read_base_ids();
         return;
     }
-    this->base_ids = *known;
-    this->resolution.emplace(this->wanted.write_id, this->wanted.expected,
-                             known->empty() ? std::string() : known->front());
+    this->base_ids = *cached_ids;
+    this->resolution.emplace(
+        this->write_request.write_id, this->write_request.expected,
+        cached_ids->empty() ? std::string() : cached_ids->front());
     this->send();
 }
 
-void etcd_write::read_base()
+void etcd_write::read_base_ids()
 {
     const auto self = this->shared_from_this();
-    this->caller->post_repeatable(
-        "/v3/kv/range", get_body(this->wanted.key), call_lane::normal,
-        [self](const call_end& end)
+    this->transport->post_idempotent(
+        "/v3/kv/range", get_body(this->write_request.key),
+        call_priority::normal,
+        [self](const call_outcome& outcome)
         {
-            if (end.how != call_end::kind::answered)
+            if (outcome.status != call_outcome::status_kind::succeeded)
             {
-                self->fail(error_code::store_unavailable, end.reason);
+                self->fail(error_code::store_unavailable, outcome.reason);
                 return;
             }
-            const auto answer = parse_range(end.body);
-            if (answer.has_error())
+            const auto response = parse_range(outcome.body);
+            if (response.has_error())
             {
-                self->fail(error_code::store_unavailable, answer.error());
+                self->fail(error_code::store_unavailable, response.error());
                 return;
             }
             std::optional<stored_key> current;
-            if (!answer.value().keys.empty())
+            if (!response.value().keys.empty())
             {
-                current = answer.value().keys.front();
+                current = response.value().keys.front();
             }
-            if (!current || current->revision != self->wanted.expected)
+            if (!current || current->revision != self->write_request.expected)
             {
-                self->finish(write_verdict::not_applied, std::move(current));
+                self->finish(write_status::not_applied, std::move(current));
                 return;
             }
             read_value(*current, *self->write_ids);
@@ -84,138 +86,142 @@
 
 std::string etcd_write::body()
 {
-    if (!this->wanted.value)
+    if (!this->write_request.value)
     {
-        return erase_body(this->wanted.key, this->wanted.expected);
+        return erase_body(this->write_request.key,
+                          this->write_request.expected);
     }
-    std::string bytes = *this->wanted.value;
-    if (has_envelope(this->wanted.key))
+    std::string bytes = *this->write_request.value;
+    if (has_envelope(this->write_request.key))
     {
-        this->sent_ids =
-            extend_write_ids(this->resolution->next_copy_id(), this->base_ids);
+        this->sent_ids = extend_write_ids(this->resolution->next_attempt_id(),
+                                          this->base_ids);
         bytes =
             encode_envelope(write_envelope{this->sent_ids, std::move(bytes)});
     }
-    return put_body(this->wanted.key, this->wanted.expected, bytes,
-                    this->wanted.lease);
+    return put_body(this->write_request.key, this->write_request.expected,
+                    bytes, this->write_request.lease);
 }
 
 void etcd_write::send()
 {
     const auto self = this->shared_from_this();
-    this->caller->post("/v3/kv/txn", this->body(), call_lane::normal,
-                       [self](const call_end& end) { self->handle_end(end); });
+    this->transport->post("/v3/kv/txn", this->body(), call_priority::normal,
+                          [self](const call_outcome& outcome)
+                          { self->handle_outcome(outcome); });
 }
 
-void etcd_write::handle_end(const call_end& end)
+void etcd_write::handle_outcome(const call_outcome& outcome)
 {
-    this->last_reason = end.reason;
-    if (end.how == call_end::kind::refused)
-    {
-        const auto verdict = this->resolution->refused();
-        const error_code refusal = this->wanted.lease == store_lease()
-                                       ? end.reason.code
-                                       : error_code::lease_lost;
-        this->fail(verdict == write_verdict::unknown
+    this->last_reason = outcome.reason;
+    if (outcome.status == call_outcome::status_kind::rejected)
+    {
+        const auto status = this->resolution->record_rejection();
+        const error_code rejection_code =
+            this->write_request.lease == store_lease() ? outcome.reason.code
+                                                       : error_code::lease_lost;
+        this->fail(status == write_status::unknown
                        ? error_code::store_outcome_unknown
-                       : refusal,
-                   end.reason);
+                       : rejection_code,
+                   outcome.reason);
         return;
     }
-    if (end.how == call_end::kind::answered)
+    if (outcome.status == call_outcome::status_kind::succeeded)
     {
-        const auto answer = parse_transaction(end.body);
-        if (answer.has_value())
+        const auto response = parse_transaction(outcome.body);
+        if (response.has_value())
         {
-            this->handle_answer(answer.value());
+            this->handle_response(response.value());
             return;
         }
-        this->last_reason = answer.error();
+        this->last_reason = response.error();
     }
-    if (end.how != call_end::kind::not_sent)
+    if (outcome.status != call_outcome::status_kind::not_sent)
     {
-        this->resolution->answer_lost();
+        this->resolution->record_lost_response();
     }
     this->retry();
 }
 
-void etcd_write::handle_answer(const transaction_answer& answer)
+void etcd_write::handle_response(const transaction_response& response)
 {
-    if (answer.succeeded)
+    if (response.succeeded)
     {
-        this->resolution->succeeded();
-        this->finish_applied(answer.revision);
+        this->resolution->record_success();
+        this->finish_applied(response.revision);
         return;
     }
     store_revision revision;
     std::vector<std::string> ids;
-    if (answer.current)
+    if (response.current)
     {
-        revision = answer.current->revision;
-        if (const auto envelope = decode_envelope(answer.current->bytes))
+        revision = response.current->revision;
+        if (const auto envelope = decode_envelope(response.current->bytes))
         {
             ids = envelope->write_ids;
         }
     }
-    if (revision == this->wanted.expected)
+    if (revision == this->write_request.expected)
     {
         // The answer contradicts itself; nothing follows from it.
-        this->resolution->answer_lost();
+        this->resolution->record_lost_response();
         this->retry();
         return;
     }
-    this->finish(this->resolution->failed(revision, ids), answer.current);
+    this->finish(this->resolution->record_failed_compare(revision, ids),
+                 response.current);
 }
 
 void etcd_write::retry()
 {
-    const duration pause = this->pauses.next(this->caller->random());
-    if (net::event_loop::now() + pause >= this->give_up_at)
+    const duration pause =
+        this->retry_backoff.next_delay(this->transport->random());
+    if (net::event_loop::now() + pause >= this->deadline)
     {
-        const auto verdict = this->resolution->give_up();
-        this->fail(verdict == write_verdict::unknown
+        const auto status = this->resolution->abandon();
+        this->fail(status == write_status::unknown
                        ? error_code::store_outcome_unknown
                        : error_code::store_unavailable,
                    this->last_reason);
         return;
     }
     // A write of which no copy was sent is refused at once in an outage.
-    if (!this->resolution->has_lost_answers() && !this->caller->is_reachable())
+    if (!this->resolution->has_lost_responses() &&
+        !this->transport->is_reachable())
     {
-        this->resolution->give_up();
+        this->resolution->abandon();
         this->fail(error_code::store_unavailable, this->last_reason);
         return;
     }
     const auto self = this->shared_from_this();
-    this->caller->after(pause, [self] { self->send(); });
+    this->transport->call_after(pause, [self] { self->send(); });
 }
 
 void etcd_write::finish_applied(store_revision revision)
 {
     swap_outcome outcome;
     outcome.applied = true;
-    if (this->wanted.value)
+    if (this->write_request.value)
     {
-        outcome.current = versioned_value{*this->wanted.value, revision};
-        if (has_envelope(this->wanted.key))
+        outcome.current = versioned_value{*this->write_request.value, revision};
+        if (has_envelope(this->write_request.key))
         {
-            this->write_ids->remember(this->wanted.key, revision,
+            this->write_ids->remember(this->write_request.key, revision,
                                       this->sent_ids);
         }
     }
     this->callback(std::move(outcome));
 }
 
-void etcd_write::finish(write_verdict verdict,
-                        std::optional<stored_key> current)
+void etcd_write::finish(write_status status, std::optional<stored_key> current)
 {
-    if (verdict == write_verdict::unknown)
+    if (status == write_status::unknown)
     {
         this->fail(error_code::store_outcome_unknown, this->last_reason);
         return;
     }
     swap_outcome outcome;
-    outcome.applied = verdict == write_verdict::applied;
+    outcome.applied = status == write_status::applied;
     if (current)
     {
         outcome.current = read_value(*current, *this->write_ids);
@@ -230,7 +236,8 @@
     if (code == error_code::store_outcome_unknown)
     {
         failure.message = "the store's answer to a write of " +
-                          this->wanted.key + " was lost: " + reason.message;
+                          this->write_request.key +
+                          " was lost: " + reason.message;
     }
     this->callback(std::move(failure));
 }
--- a/src/key_value/etcd_write.hpp
+++ b/src/key_value/etcd_write.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "key_value/etcd_caller.hpp"
 #include "key_value/etcd_messages.hpp"
+#include "key_value/etcd_transport.hpp"
 #include "key_value/platform_store.hpp"
 #include "key_value/write_id_cache.hpp"
 #include "key_value/write_resolution.hpp"
@@ -28,33 +28,33 @@
         std::string write_id;
     };
 
-    etcd_write(std::shared_ptr<etcd_caller> calls,
-               std::shared_ptr<write_id_cache> ids, request wanted,
+    etcd_write(std::shared_ptr<etcd_transport> http_transport,
+               std::shared_ptr<write_id_cache> ids, request write_request,
                swap_callback callback);
 
     void start();
 
 private:
-    void read_base();
+    void read_base_ids();
     void send();
-    void handle_end(const call_end& end);
-    void handle_answer(const transaction_answer& answer);
+    void handle_outcome(const call_outcome& outcome);
+    void handle_response(const transaction_response& response);
     void retry();
     void finish_applied(store_revision revision);
-    void finish(write_verdict verdict, std::optional<stored_key> current);
+    void finish(write_status status, std::optional<stored_key> current);
     void fail(error_code code, const error& reason);
     std::string body();
 
-    std::shared_ptr<etcd_caller> caller;
+    std::shared_ptr<etcd_transport> transport;
     std::shared_ptr<write_id_cache> write_ids;
-    request wanted;
+    request write_request;
     swap_callback callback;
     std::vector<std::string> base_ids;
     /// Ids in the envelope of the last copy.
     std::vector<std::string> sent_ids;
     std::optional<write_resolution> resolution;
-    backoff pauses;
-    time_point give_up_at;
+    backoff retry_backoff;
+    time_point deadline;
     error last_reason;
 };
 
--- a/src/key_value/outage_detector.hpp
+++ b/src/key_value/outage_detector.hpp
@@ -17,23 +17,23 @@
     /// A call was answered, whatever the answer.
     ///
     /// \returns Whether this ends an outage.
-    bool call_answered();
+    bool record_response();
 
     /// A call was not answered.
     ///
     /// \returns Whether this begins an outage.
-    bool call_failed(time_point now, random_source& random);
+    bool record_failure(time_point now, random_source& random);
 
     bool is_reachable() const { return !this->down; }
 
     /// \returns Whether a probe may be sent now; it is then taken as sent.
-    bool take_probe(time_point now);
+    bool try_start_probe(time_point now);
 
     /// \returns How long until the next probe; for Retry-After as well.
-    duration until_probe(time_point now) const;
+    duration time_until_probe(time_point now) const;
 
 private:
-    backoff pauses;
+    backoff probe_backoff;
     int failures = 0;
     bool down = false;
     bool probing = false;
--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -20,16 +20,16 @@
 /// connection is probed meanwhile.
 constexpr duration watch_wait = std::chrono::seconds(25);
 constexpr duration watch_timeout = watch_wait + call_timeout;
-constexpr duration first_repeat_delay = std::chrono::milliseconds(40);
-constexpr duration longest_repeat_delay = std::chrono::milliseconds(400);
+constexpr duration initial_retry_delay = std::chrono::milliseconds(40);
+constexpr duration max_retry_delay = std::chrono::milliseconds(400);
 /// A read that was lost is most often lost with its connection.
-constexpr int repeats_of_a_read = 1;
+constexpr int read_retries = 1;
 constexpr int status_not_found = 404;
 constexpr int status_conflict = 412;
 constexpr int status_gone = 410;
 
 /// Answers that show a working store, whatever they say.
-bool shows_working_store(const net::http_response& response)
+bool is_working_store_response(const net::http_response& response)
 {
     return response.status == 200 || response.status == status_not_found ||
            response.status == status_conflict || response.status == status_gone;
@@ -41,10 +41,10 @@
 {
     record_transaction transaction;
     net::http_request request;
-    time_point limit;
-    backoff pauses{first_repeat_delay, longest_repeat_delay};
+    time_point deadline;
+    backoff retry_backoff{initial_retry_delay, max_retry_delay};
     /// Whether a copy was sent whose answer was lost.
-    bool answer_lost = false;
+    bool response_lost = false;
     commit_callback callback;
 };
 
@@ -59,10 +59,10 @@
 
 record_client::record_client(net::event_loop& event_loop,
                              net::http_client& client, endpoint store_address,
-                             const record_adapter& calls_of_store,
+                             const record_adapter& store_adapter,
                              random_source& random_numbers)
     : loop(event_loop), http(client), address(std::move(store_address)),
-      adapter(calls_of_store), random(random_numbers)
+      adapter(store_adapter), random(random_numbers)
 {
 }
 
@@ -71,31 +71,31 @@
 void record_client::get(const std::string& key, read_freshness freshness,
                         get_callback callback)
 {
-    this->get(key, freshness, repeats_of_a_read, std::move(callback));
+    this->get(key, freshness, read_retries, std::move(callback));
 }
 
 void record_client::get(const std::string& key, read_freshness freshness,
-                        int repeats, get_callback callback)
+                        int retries, get_callback callback)
 {
     this->count_read(freshness);
-    this->send(
-        this->adapter.get_request(key, freshness), call_timeout,
-        [this, key, freshness, repeats, callback = std::move(callback)](
-            const result<net::http_response>& answer)
-        {
-            if (answer.has_value())
-            {
-                callback(this->adapter.parse_get_response(key, answer.value()));
-            }
-            else if (repeats > 0)
-            {
-                this->get(key, freshness, repeats - 1, callback);
-            }
-            else
-            {
-                callback(answer.error());
-            }
-        });
+    this->send(this->adapter.get_request(key, freshness), call_timeout,
+               [this, key, freshness, retries, callback = std::move(callback)](
+                   const result<net::http_response>& response)
+               {
+                   if (response.has_value())
+                   {
+                       callback(this->adapter.parse_get_response(
+                           key, response.value()));
+                   }
+                   else if (retries > 0)
+                   {
+                       this->get(key, freshness, retries - 1, callback);
+                   }
+                   else
+                   {
+                       callback(response.error());
+                   }
+               });
 }
 
 void record_client::list(const std::string& prefix, read_freshness freshness,
@@ -118,40 +118,40 @@
         this->adapter.list_request(state->prefix, after, state->freshness);
     request.head_timeout = call_timeout;
     request.idle_timeout = call_timeout;
-    this->send(std::move(request), listing_timeout,
-               [this, state](result<net::http_response> response)
-               {
-                   if (response.has_error())
-                   {
-                       state->callback(response.error());
-                       return;
-                   }
-                   auto page =
-                       this->adapter.parse_list_response(response.value());
-                   if (page.has_error())
-                   {
-                       state->callback(page.error());
-                       return;
-                   }
-                   auto& records = page.value().records;
-                   // Changes are followed from the first page on, since the
-                   // pages are not a snapshot.
-                   if (std::exchange(state->first_page, false))
-                   {
-                       state->collected.read_at = page.value().read_at;
-                   }
-                   const bool more = page.value().truncated && !records.empty();
-                   for (stored_record& record : records)
-                   {
-                       state->collected.records.push_back(std::move(record));
-                   }
-                   if (more)
-                   {
-                       this->send_page(state);
-                       return;
-                   }
-                   state->callback(std::move(state->collected));
-               });
+    this->send(
+        std::move(request), listing_timeout,
+        [this, state](result<net::http_response> response)
+        {
+            if (response.has_error())
+            {
+                state->callback(response.error());
+                return;
+            }
+            auto page = this->adapter.parse_list_response(response.value());
+            if (page.has_error())
+            {
+                state->callback(page.error());
+                return;
+            }
+            auto& records = page.value().records;
+            // Changes are followed from the first page on, since the
+            // pages are not a snapshot.
+            if (std::exchange(state->first_page, false))
+            {
+                state->collected.read_revision = page.value().read_revision;
+            }
+            const bool has_more = page.value().truncated && !records.empty();
+            for (stored_record& record : records)
+            {
+                state->collected.records.push_back(std::move(record));
+            }
+            if (has_more)
+            {
+                this->send_page(state);
+                return;
+            }
+            state->callback(std::move(state->collected));
+        });
 }
 
 void record_client::watch(const std::string& prefix, store_revision after,
@@ -175,13 +175,13 @@
         });
 }
 
-void record_client::commit(record_transaction transaction, duration limit,
+void record_client::commit(record_transaction transaction, duration timeout,
                            commit_callback callback)
 {
     const auto state = std::make_shared<commit_state>();
     state->transaction = std::move(transaction);
     state->request = this->adapter.commit_request(state->transaction);
-    state->limit = net::event_loop::now() + limit;
+    state->deadline = net::event_loop::now() + timeout;
     state->callback = std::move(callback);
     this->send_commit(state);
 }
@@ -194,48 +194,50 @@
                {
                    if (response.has_error())
                    {
-                       state->answer_lost =
-                           state->answer_lost ||
+                       state->response_lost =
+                           state->response_lost ||
                            response.error().ran == ran_state::unknown;
-                       this->repeat_commit(state, response.error());
+                       this->retry_commit(state, response.error());
                        return;
                    }
                    auto outcome = this->adapter.parse_commit_response(
                        state->transaction, response.value());
                    if (outcome.has_error())
                    {
-                       this->repeat_commit(state, outcome.error());
+                       this->retry_commit(state, outcome.error());
                        return;
                    }
                    state->callback(std::move(outcome.value()));
                });
 }
 
-void record_client::repeat_commit(const std::shared_ptr<commit_state>& state,
-                                  const error& reason)
+void record_client::retry_commit(const std::shared_ptr<commit_state>& state,
+                                 const error& reason)
 {
-    const duration pause = state->pauses.next(this->random);
-    if (net::event_loop::now() + pause >= state->limit)
+    const duration pause = state->retry_backoff.next_delay(this->random);
+    if (net::event_loop::now() + pause >= state->deadline)
     {
-        error final = reason;
-        final.ran = state->answer_lost ? ran_state::unknown : ran_state::no;
-        final.code = state->answer_lost ? error_code::store_outcome_unknown
-                                        : error_code::store_unavailable;
+        error last_error = reason;
+        last_error.ran =
+            state->response_lost ? ran_state::unknown : ran_state::no;
+        last_error.code = state->response_lost
+                              ? error_code::store_outcome_unknown
+                              : error_code::store_unavailable;
         log_event(log_level::warning, "store_commit_given_up",
                   {{"key", state->transaction.conditions.empty()
                                ? std::string()
                                : state->transaction.conditions.front().key},
-                   {"applied", state->answer_lost ? "unknown" : "no"},
+                   {"applied", state->response_lost ? "unknown" : "no"},
                    {"reason", reason.message}});
-        state->callback(final);
+        state->callback(last_error);
         return;
     }
-    this->after(pause, [this, state] { this->send_commit(state); });
+    this->call_after(pause, [this, state] { this->send_commit(state); });
 }
 
-void record_client::on_reach_change(reach_callback callback)
+void record_client::on_reachability_change(reachability_callback callback)
 {
-    this->reach_callbacks.push_back(std::move(callback));
+    this->reachability_callbacks.push_back(std::move(callback));
 }
 
 void record_client::send(net::http_request request, duration timeout,
@@ -254,27 +256,27 @@
              this->calls.erase(number);
              if (outcome.has_error())
              {
-                 this->note_failure(outcome.error());
+                 this->record_failure(outcome.error());
                  callback(outcome.error());
                  return;
              }
-             if (!shows_working_store(outcome.value()))
+             if (!is_working_store_response(outcome.value()))
              {
                  const error refused{error_code::store_unavailable,
                                      "the store answered " +
                                          std::to_string(outcome.value().status),
                                      ran_state::no,
                                      {}};
-                 this->note_failure(refused);
+                 this->record_failure(refused);
                  callback(refused);
                  return;
              }
-             this->note_answer();
+             this->record_response();
              callback(std::move(outcome));
          }});
 }
 
-void record_client::after(duration delay, std::function<void()> callback)
+void record_client::call_after(duration delay, std::function<void()> callback)
 {
     const std::uint64_t number = this->next_number++;
     this->timers[number] =
@@ -294,28 +296,28 @@
                                            : this->counts.stale_reads);
 }
 
-void record_client::note_answer()
+void record_client::record_response()
 {
-    if (this->outage.call_answered())
+    if (this->outage.record_response())
     {
         log_event(log_level::info, "store_regained",
                   {{"address", to_string(this->address)}});
-        for (const auto& callback : this->reach_callbacks)
+        for (const auto& callback : this->reachability_callbacks)
         {
             callback(true);
         }
     }
 }
 
-void record_client::note_failure(const error& reason)
+void record_client::record_failure(const error& reason)
 {
     ++this->counts.failures;
-    if (this->outage.call_failed(net::event_loop::now(), this->random))
+    if (this->outage.record_failure(net::event_loop::now(), this->random))
     {
         log_event(log_level::warning, "store_lost",
                   {{"address", to_string(this->address)},
                    {"reason", reason.message}});
-        for (const auto& callback : this->reach_callbacks)
+        for (const auto& callback : this->reachability_callbacks)
         {
             callback(false);
         }
--- a/src/key_value/record_client.hpp
+++ b/src/key_value/record_client.hpp
@@ -30,7 +30,7 @@
     /// and never will be, and ran_state::unknown when that is not known.
     using commit_callback = std::function<void(result<transaction_outcome>)>;
     /// \param reachable Whether the store answers again, or no longer does.
-    using reach_callback = std::function<void(bool reachable)>;
+    using reachability_callback = std::function<void(bool reachable)>;
 
     record_client(net::event_loop& event_loop, net::http_client& client,
                   endpoint address, const record_adapter& calls,
@@ -53,12 +53,12 @@
 
     /// Applies a transaction.
     ///
-    /// \param limit How long lost answers are followed up.
-    void commit(record_transaction transaction, duration limit,
+    /// \param timeout How long lost answers are followed up.
+    void commit(record_transaction transaction, duration timeout,
                 commit_callback callback);
 
     /// \param callback Called when an outage begins and when it ends.
-    void on_reach_change(reach_callback callback);
+    void on_reachability_change(reachability_callback callback);
 
     bool is_reachable() const { return this->outage.is_reachable(); }
     const call_counts& calls_made() const { return this->counts; }
@@ -68,18 +68,18 @@
     struct commit_state;
     struct list_state;
 
-    void get(const std::string& key, read_freshness freshness, int repeats,
+    void get(const std::string& key, read_freshness freshness, int retries,
              get_callback callback);
     void send(net::http_request request, duration timeout,
               response_callback callback);
     void send_page(const std::shared_ptr<list_state>& state);
     void send_commit(const std::shared_ptr<commit_state>& state);
-    void repeat_commit(const std::shared_ptr<commit_state>& state,
-                       const error& reason);
-    void after(duration delay, std::function<void()> callback);
+    void retry_commit(const std::shared_ptr<commit_state>& state,
+                      const error& reason);
+    void call_after(duration delay, std::function<void()> callback);
     void count_read(read_freshness freshness);
-    void note_answer();
-    void note_failure(const error& reason);
+    void record_response();
+    void record_failure(const error& reason);
 
     net::event_loop& loop;
     net::http_client& http;
@@ -87,7 +87,7 @@
     const record_adapter& adapter;
     random_source& random;
     outage_detector outage;
-    std::vector<reach_callback> reach_callbacks;
+    std::vector<reachability_callback> reachability_callbacks;
     std::map<std::uint64_t, std::unique_ptr<net::http_call>> calls;
     std::map<std::uint64_t, net::timer> timers;
     std::uint64_t next_number = 1;
--- a/src/key_value/record_follower.cpp
+++ b/src/key_value/record_follower.cpp
@@ -10,31 +10,31 @@
 namespace
 {
 
-constexpr duration first_pause = std::chrono::milliseconds(100);
+constexpr duration initial_retry_delay = std::chrono::milliseconds(100);
 /// Half of the two seconds in which operators' changes are due once the store
 /// can be reached. Refused calls count against the store's rates as well, and
 /// all nodes make them during an outage.
-constexpr duration longest_pause = std::chrono::seconds(1);
+constexpr duration max_retry_delay = std::chrono::seconds(1);
 
 } // namespace
 
 record_follower::callbacks
-record_follower::each_record(std::function<void(const stored_record&)> take)
+record_follower::each_record(std::function<void(const stored_record&)> callback)
 {
-    return {[take](const record_listing& listing, bool)
+    return {[callback](const record_listing& listing, bool)
             {
                 for (const stored_record& record : listing.records)
                 {
-                    take(record);
+                    callback(record);
                 }
             },
-            [take](const std::vector<record_change>& changes)
+            [callback](const std::vector<record_change>& changes)
             {
                 for (const record_change& change : changes)
                 {
                     if (!change.deleted)
                     {
-                        take(change.record);
+                        callback(change.record);
                     }
                 }
             },
@@ -45,16 +45,17 @@
                                  record_client& client,
                                  random_source& random_numbers,
                                  std::string key_prefix,
-                                 duration pause_after_changes,
-                                 callbacks listener)
+                                 duration delay_after_changes,
+                                 callbacks event_handlers)
     : loop(event_loop), store(client), random(random_numbers),
-      prefix(std::move(key_prefix)), hooks(std::move(listener)),
-      collecting(pause_after_changes), pauses(first_pause, longest_pause)
+      prefix(std::move(key_prefix)), handlers(std::move(event_handlers)),
+      collect_delay(delay_after_changes),
+      retry_backoff(initial_retry_delay, max_retry_delay)
 {
-    this->store.on_reach_change(
+    this->store.on_reachability_change(
         [this](bool reachable)
         {
-            if (reachable && this->running && this->pausing)
+            if (reachable && this->running && this->waiting_to_retry)
             {
                 this->retry();
             }
@@ -67,7 +68,7 @@
     {
         return;
     }
-    ++this->run;
+    ++this->generation;
     this->read_all();
 }
 
@@ -75,60 +76,61 @@
 {
     this->running = false;
     this->failing = false;
-    ++this->run;
-    this->pausing = false;
-    this->next_timer.cancel();
+    ++this->generation;
+    this->waiting_to_retry = false;
+    this->watch_timer.cancel();
     this->retry_timer.cancel();
 }
 
 void record_follower::read_all()
 {
-    this->store.list(
-        this->prefix, read_freshness::latest,
-        [this, started_in = this->run](const result<record_listing>& listing)
-        {
-            if (started_in == this->run)
-            {
-                this->take_all(listing);
-            }
-        });
+    this->store.list(this->prefix, read_freshness::latest,
+                     [this, started_generation = this->generation](
+                         const result<record_listing>& listing)
+                     {
+                         if (started_generation == this->generation)
+                         {
+                             this->handle_listing(listing);
+                         }
+                     });
 }
 
-void record_follower::take_all(const result<record_listing>& listing)
+void record_follower::handle_listing(const result<record_listing>& listing)
 {
     if (listing.has_error())
     {
-        this->fail(listing.error());
+        this->handle_failure(listing.error());
         return;
     }
-    this->position = listing.value().read_at;
-    this->confirmed = net::event_loop::now();
-    this->pauses.reset();
-    this->hooks.on_all(listing.value(), std::exchange(this->failing, false));
+    this->position = listing.value().read_revision;
+    this->confirmed_time = net::event_loop::now();
+    this->retry_backoff.reset();
+    this->handlers.on_listing(listing.value(),
+                              std::exchange(this->failing, false));
     this->wait_for_changes();
 }
 
 void record_follower::wait_for_changes()
 {
-    this->store.watch(
-        this->prefix, this->position,
-        [this, started_in = this->run](const result<record_changes>& answer)
-        {
-            if (started_in == this->run)
-            {
-                this->take_changes(answer);
-            }
-        });
+    this->store.watch(this->prefix, this->position,
+                      [this, started_generation = this->generation](
+                          const result<record_changes>& response)
+                      {
+                          if (started_generation == this->generation)
+                          {
+                              this->handle_changes(response);
+                          }
+                      });
 }
 
-void record_follower::take_changes(const result<record_changes>& answer)
+void record_follower::handle_changes(const result<record_changes>& response)
 {
-    if (answer.has_error())
+    if (response.has_error())
     {
-        this->fail(answer.error());
+        this->handle_failure(response.error());
         return;
     }
-    if (answer.value().history_lost)
+    if (response.value().history_lost)
     {
         log_event(
             log_level::info, "store_history_lost",
@@ -136,17 +138,17 @@
         this->read_all();
         return;
     }
-    this->confirmed = net::event_loop::now();
-    this->position = answer.value().read_at;
-    if (!answer.value().changes.empty())
+    this->confirmed_time = net::event_loop::now();
+    this->position = response.value().read_revision;
+    if (!response.value().changes.empty())
     {
-        this->hooks.on_changes(answer.value().changes);
+        this->handlers.on_changes(response.value().changes);
     }
-    this->next_timer = this->loop.call_after(this->collecting, [this]
-                                             { this->wait_for_changes(); });
+    this->watch_timer = this->loop.call_after(this->collect_delay, [this]
+                                              { this->wait_for_changes(); });
 }
 
-void record_follower::fail(const error& reason)
+void record_follower::handle_failure(const error& reason)
 {
     if (!std::exchange(this->failing, true))
     {
@@ -154,20 +156,21 @@
                   {{"prefix", this->prefix},
                    {"reason", reason.message},
                    {"known_age_ms", to_milliseconds(net::event_loop::now() -
-                                                    this->confirmed)}});
-        if (this->hooks.on_failure)
+                                                    this->confirmed_time)}});
+        if (this->handlers.on_failure)
         {
-            this->hooks.on_failure(reason);
+            this->handlers.on_failure(reason);
         }
     }
-    this->pausing = true;
-    this->retry_timer = this->loop.call_after(this->pauses.next(this->random),
-                                              [this] { this->retry(); });
+    this->waiting_to_retry = true;
+    this->retry_timer =
+        this->loop.call_after(this->retry_backoff.next_delay(this->random),
+                              [this] { this->retry(); });
 }
 
 void record_follower::retry()
 {
-    this->pausing = false;
+    this->waiting_to_retry = false;
     this->retry_timer.cancel();
     this->read_all();
 }
--- a/src/key_value/record_follower.hpp
+++ b/src/key_value/record_follower.hpp
@@ -22,7 +22,8 @@
         /// All keys of the prefix.
         ///
         /// \param after_failure Whether calls had failed before.
-        std::function<void(const record_listing&, bool after_failure)> on_all;
+        std::function<void(const record_listing&, bool after_failure)>
+            on_listing;
         /// Changes after the last listing, in their order; never none.
         std::function<void(const std::vector<record_change>&)> on_changes;
         /// Calls have begun to fail. Optional.
@@ -32,13 +33,13 @@
     /// \param take Gets each record that exists, as it was listed or changed.
     /// \returns Callbacks for a listener that needs no more.
     static callbacks
-    each_record(std::function<void(const stored_record&)> take);
+    each_record(std::function<void(const stored_record&)> callback);
 
-    /// \param pause_after_changes How long changes are collected before the
+    /// \param delay_after_changes How long changes are collected before the
     /// next ones are asked for, to spare calls.
     record_follower(net::event_loop& event_loop, record_client& client,
                     random_source& random_numbers, std::string key_prefix,
-                    duration pause_after_changes, callbacks listener);
+                    duration delay_after_changes, callbacks event_handlers);
 
     /// Begins, or begins anew after stop().
     void start();
@@ -52,32 +53,32 @@
     bool is_failing() const { return this->failing; }
 
     /// \returns When the store last confirmed what is known.
-    time_point confirmed_at() const { return this->confirmed; }
+    time_point confirmed_at() const { return this->confirmed_time; }
 
 private:
     void read_all();
-    void take_all(const result<record_listing>& listing);
+    void handle_listing(const result<record_listing>& listing);
     void wait_for_changes();
-    void take_changes(const result<record_changes>& answer);
-    void fail(const error& reason);
+    void handle_changes(const result<record_changes>& response);
+    void handle_failure(const error& reason);
     void retry();
 
     net::event_loop& loop;
     record_client& store;
     random_source& random;
     std::string prefix;
-    callbacks hooks;
-    duration collecting;
-    backoff pauses;
+    callbacks handlers;
+    duration collect_delay;
+    backoff retry_backoff;
     store_revision position;
-    time_point confirmed;
+    time_point confirmed_time;
     bool running = false;
     /// A retry is planned and no call is under way.
-    bool pausing = false;
+    bool waiting_to_retry = false;
     bool failing = false;
     /// Tells answers to calls from before a stop() apart.
-    std::uint64_t run = 0;
-    net::timer next_timer;
+    std::uint64_t generation = 0;
+    net::timer watch_timer;
     net::timer retry_timer;
 };
 
--- a/src/key_value/stored_record.hpp
+++ b/src/key_value/stored_record.hpp
@@ -24,7 +24,7 @@
 struct record_listing
 {
     std::vector<stored_record> records;
-    store_revision read_at;
+    store_revision read_revision;
     /// Whether more keys follow.
     bool truncated = false;
 };
@@ -41,7 +41,7 @@
 struct record_changes
 {
     std::vector<record_change> changes;
-    store_revision read_at;
+    store_revision read_revision;
     /// The store has discarded the history that was asked for.
     bool history_lost = false;
 };
--- a/src/key_value/write_envelope.cpp
+++ b/src/key_value/write_envelope.cpp
@@ -7,13 +7,13 @@
 {
 
 // The first word of every envelope; the number is the version of the form.
-constexpr std::string_view envelope_mark = "envelope1";
+constexpr std::string_view envelope_header = "envelope1";
 
 } // namespace
 
 std::string encode_envelope(const write_envelope& envelope)
 {
-    std::string bytes(envelope_mark);
+    std::string bytes(envelope_header);
     for (const std::string& id : envelope.write_ids)
     {
         bytes += ' ';
@@ -27,14 +27,15 @@
 std::optional<write_envelope> decode_envelope(std::string_view bytes)
 {
     const std::size_t head_end = bytes.find('\n');
-    if (head_end == std::string_view::npos || !bytes.starts_with(envelope_mark))
+    if (head_end == std::string_view::npos ||
+        !bytes.starts_with(envelope_header))
     {
         return std::nullopt;
     }
     write_envelope envelope;
     envelope.value = std::string(bytes.substr(head_end + 1));
     std::string_view head = bytes.substr(0, head_end);
-    head.remove_prefix(envelope_mark.size());
+    head.remove_prefix(envelope_header.size());
     while (!head.empty())
     {
         if (head.front() != ' ')
--- a/src/key_value/write_id_cache.cpp
+++ b/src/key_value/write_id_cache.cpp
@@ -19,11 +19,11 @@
     {
         return;
     }
-    this->order.push_back(key);
-    if (this->order.size() > this->key_limit)
+    this->insertion_order.push_back(key);
+    if (this->insertion_order.size() > this->key_limit)
     {
-        this->entries.erase(this->order.front());
-        this->order.pop_front();
+        this->entries.erase(this->insertion_order.front());
+        this->insertion_order.pop_front();
     }
 }
 
--- a/src/key_value/write_id_cache.hpp
+++ b/src/key_value/write_id_cache.hpp
@@ -37,7 +37,7 @@
     std::size_t key_limit;
     std::map<std::string, entry> entries;
     /// Keys in the order in which they were first remembered.
-    std::deque<std::string> order;
+    std::deque<std::string> insertion_order;
 };
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/write_resolution.cpp
+++ b/src/key_value/write_resolution.cpp
@@ -11,17 +11,17 @@
 namespace
 {
 
-constexpr char copy_separator = '.';
+constexpr char attempt_separator = '.';
 
 bool contains(const std::vector<std::string>& ids, const std::string& id)
 {
     return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-bool contains_copy_of(const std::vector<std::string>& ids,
-                      const std::string& write_id)
+bool contains_attempt_of(const std::vector<std::string>& ids,
+                         const std::string& write_id)
 {
-    const std::string start = write_id + copy_separator;
+    const std::string start = write_id + attempt_separator;
     return std::any_of(ids.begin(), ids.end(),
                        [&start](const std::string& id)
                        { return id.starts_with(start); });
@@ -35,51 +35,50 @@
 {
 }
 
-std::string write_resolution::next_copy_id()
+std::string write_resolution::next_attempt_id()
 {
-    ++this->copies;
-    return this->write_id + copy_separator + std::to_string(this->copies);
+    ++this->attempts;
+    return this->write_id + attempt_separator + std::to_string(this->attempts);
 }
 
-write_verdict write_resolution::succeeded()
+write_status write_resolution::record_success()
 {
-    return this->decide(write_verdict::applied);
+    return this->decide(write_status::applied);
 }
 
-write_verdict
-write_resolution::failed(store_revision revision,
-                         const std::vector<std::string>& write_ids)
+write_status write_resolution::record_failed_compare(
+    store_revision revision, const std::vector<std::string>& write_ids)
 {
     check_invariant(revision != this->expected,
                     "a compare fails only on another revision");
-    if (contains_copy_of(write_ids, this->write_id))
+    if (contains_attempt_of(write_ids, this->write_id))
     {
-        return this->decide(write_verdict::applied);
+        return this->decide(write_status::applied);
     }
-    if (!this->lost)
+    if (!this->response_lost)
     {
-        return this->decide(write_verdict::not_applied);
+        return this->decide(write_status::not_applied);
     }
     // The key was overwritten in turn and never deleted: all writes since the
     // expected revision are among the ids, and this one is not.
     const bool complete =
         !this->base_id.empty() && contains(write_ids, this->base_id);
-    return this->decide(complete ? write_verdict::not_applied
-                                 : write_verdict::unknown);
+    return this->decide(complete ? write_status::not_applied
+                                 : write_status::unknown);
 }
 
-write_verdict write_resolution::give_up()
+write_status write_resolution::abandon()
 {
-    return this->decide(this->lost ? write_verdict::unknown
-                                   : write_verdict::not_applied);
+    return this->decide(this->response_lost ? write_status::unknown
+                                            : write_status::not_applied);
 }
 
-write_verdict write_resolution::decide(write_verdict verdict)
+write_status write_resolution::decide(write_status status)
 {
-    check_invariant(this->decided == write_verdict::pending,
+    check_invariant(this->decided == write_status::pending,
                     "a write is decided once");
-    this->decided = verdict;
-    return verdict;
+    this->decided = status;
+    return status;
 }
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/write_resolution.hpp
+++ b/src/key_value/write_resolution.hpp
@@ -11,7 +11,7 @@
 {
 
 /// What is known of a write.
-enum class write_verdict
+enum class write_status
 {
     /// The answer was lost; the same transaction is to be sent again.
     pending,
@@ -45,39 +45,40 @@
                      std::string base_id);
 
     /// \returns The id for the envelope of the next copy.
-    std::string next_copy_id();
+    std::string next_attempt_id();
 
     /// A copy was sent and its answer lost.
-    void answer_lost() { this->lost = true; }
+    void record_lost_response() { this->response_lost = true; }
 
     /// A copy was answered with "succeeded".
-    write_verdict succeeded();
+    write_status record_success();
 
     /// A copy was answered with "failed".
     ///
     /// \param revision The key's revision now; 0 when it is absent.
     /// \param write_ids The ids in its envelope.
-    write_verdict failed(store_revision revision,
-                         const std::vector<std::string>& write_ids);
+    write_status
+    record_failed_compare(store_revision revision,
+                          const std::vector<std::string>& write_ids);
 
     /// No copy will be sent any more.
-    write_verdict give_up();
+    write_status abandon();
 
     /// The store has refused the transaction without looking at the key.
-    write_verdict refused() { return this->give_up(); }
+    write_status record_rejection() { return this->abandon(); }
 
     /// \returns Whether a copy may still take effect.
-    bool has_lost_answers() const { return this->lost; }
+    bool has_lost_responses() const { return this->response_lost; }
 
 private:
-    write_verdict decide(write_verdict verdict);
+    write_status decide(write_status status);
 
     std::string write_id;
     store_revision expected;
     std::string base_id;
-    int copies = 0;
-    bool lost = false;
-    write_verdict decided = write_verdict::pending;
+    int attempts = 0;
+    bool response_lost = false;
+    write_status decided = write_status::pending;
 };
 
 } // namespace parsleytrack::key_value
--- a/src/relay/replica_follower.cpp
+++ b/src/relay/replica_follower.cpp
@@ -88,7 +88,7 @@
     log_event(log_level::info, "replicas_listed",
               {{"count", entries.size()},
                {"after_failure", after_failure ? "yes" : "no"},
-               {"revision", listing.read_at.count()}});
+               {"revision", listing.read_revision.count()}});
     this->replicas.replace_all(entries, after_failure, net::event_loop::now());
     this->notify_if_changed();
 }
--- a/tests/fake_store/fake_store_server.cpp
+++ b/tests/fake_store/fake_store_server.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t body_limit = 2'000'000;
 
-std::string text_of(const json& object, const char* name)
+std::string decode_field(const json& object, const char* name)
 {
     return *decode_base64(object.value(name, std::string()));
 }
@@ -50,7 +50,7 @@
         this->on_write(key, bytes);
     }
     const json event{{"type", "PUT"}, {"kv", key_value(key, this->keys[key])}};
-    this->tell_watches(key, event.dump());
+    this->notify_watches(key, event.dump());
 }
 
 void fake_store_server::erase(const std::string& key)
@@ -58,7 +58,7 @@
     this->keys.erase(key);
     const json event{{"type", "DELETE"},
                      {"kv", key_value(key, {"", ++this->revision, 0})}};
-    this->tell_watches(key, event.dump());
+    this->notify_watches(key, event.dump());
 }
 
 void fake_store_server::drop_watches()
@@ -70,8 +70,8 @@
     this->watches.clear();
 }
 
-void fake_store_server::tell_watches(const std::string& key,
-                                     const std::string& event)
+void fake_store_server::notify_watches(const std::string& key,
+                                       const std::string& event)
 {
     for (const open_watch& watch : this->watches)
     {
@@ -88,13 +88,13 @@
     const std::string& body)
 {
     ++this->calls;
-    if (this->out_of_order)
+    if (this->unavailable)
     {
         exchange->respond_json(503, "{}");
         return;
     }
     const auto chance = static_cast<int>(this->random() % 100);
-    if (chance < this->lose_before)
+    if (chance < this->request_loss_percent)
     {
         exchange->abort();
         return;
@@ -105,48 +105,48 @@
         exchange->start_stream(200, {});
         exchange->write_chunk("{\"result\":{\"created\":true}}\n");
         const json request = json::parse(body)["create_request"];
-        this->watches.push_back({text_of(request, "key"), exchange});
+        this->watches.push_back({decode_field(request, "key"), exchange});
         return;
     }
-    std::string answer;
+    std::string response;
     if (path.starts_with("/v3/lease/"))
     {
-        answer = this->lease_call(path, body);
+        response = this->lease_call(path, body);
     }
     else
     {
-        answer =
+        response =
             path == "/v3/kv/txn" ? this->transaction(body) : this->range(body);
     }
-    if (chance < this->lose_before + this->lose_after)
+    if (chance < this->request_loss_percent + this->response_loss_percent)
     {
         exchange->abort();
         return;
     }
-    exchange->respond_json(200, answer);
+    exchange->respond_json(200, response);
 }
 
 std::string fake_store_server::range(const std::string& body) const
 {
     const json request = json::parse(body);
-    const std::string first = text_of(request, "key");
+    const std::string first = decode_field(request, "key");
     const std::string end = request.contains("range_end")
-                                ? text_of(request, "range_end")
+                                ? decode_field(request, "range_end")
                                 : first + '\0';
     const auto limit =
         std::stoul(request.value("limit", std::string("1000000")));
-    json answer{{"header", {{"revision", std::to_string(this->revision)}}}};
+    json response{{"header", {{"revision", std::to_string(this->revision)}}}};
     for (auto found = this->keys.lower_bound(first);
          found != this->keys.end() && found->first < end; ++found)
     {
-        if (answer["kvs"].size() == limit)
+        if (response["kvs"].size() == limit)
         {
-            answer["more"] = true;
+            response["more"] = true;
             break;
         }
-        answer["kvs"].push_back(key_value(found->first, found->second));
+        response["kvs"].push_back(key_value(found->first, found->second));
     }
-    return answer.dump();
+    return response.dump();
 }
 
 std::string fake_store_server::lease_call(const std::string& path,
@@ -166,30 +166,30 @@
         return "{}";
     }
     const auto found = this->leases.find(id);
-    json answer{{"ID", std::to_string(id)}};
+    json response{{"ID", std::to_string(id)}};
     if (found != this->leases.end())
     {
         const int span = found->second.time_to_live_s;
-        answer["TTL"] = std::to_string(span);
+        response["TTL"] = std::to_string(span);
         found->second.timer = this->event_loop.call_after(
             std::chrono::seconds(span), [this, id] { this->expire(id); });
     }
-    return path == "/v3/lease/keepalive" ? json{{"result", answer}}.dump()
-                                         : answer.dump();
+    return path == "/v3/lease/keepalive" ? json{{"result", response}}.dump()
+                                         : response.dump();
 }
 
 void fake_store_server::expire(std::int64_t lease)
 {
     this->leases.erase(lease);
-    std::vector<std::string> gone;
+    std::vector<std::string> expired_keys;
     for (const auto& [key, held] : this->keys)
     {
         if (lease != 0 && held.lease == lease)
         {
-            gone.push_back(key);
+            expired_keys.push_back(key);
         }
     }
-    for (const std::string& key : gone)
+    for (const std::string& key : expired_keys)
     {
         this->erase(key);
     }
@@ -199,35 +199,36 @@
 {
     const json request = json::parse(body);
     const json& compare = request["compare"][0];
-    const std::string key = text_of(compare, "key");
+    const std::string key = decode_field(compare, "key");
     const auto expected =
         std::stoll(compare.value("mod_revision", std::string("0")));
     const auto found = this->keys.find(key);
-    const std::int64_t present =
+    const std::int64_t current_revision =
         found == this->keys.end() ? 0 : found->second.revision;
-    const bool succeeded = present == expected;
-    json answer{{"succeeded", succeeded}, {"responses", json::array()}};
+    const bool succeeded = current_revision == expected;
+    json response{{"succeeded", succeeded}, {"responses", json::array()}};
     if (!succeeded)
     {
-        json inner = json::object();
+        json range_response = json::object();
         if (found != this->keys.end())
         {
-            inner["kvs"] = json::array({key_value(key, found->second)});
+            range_response["kvs"] =
+                json::array({key_value(key, found->second)});
         }
-        answer["responses"].push_back({{"response_range", inner}});
+        response["responses"].push_back({{"response_range", range_response}});
     }
     else if (request["success"][0].contains("request_put"))
     {
-        const json& wanted = request["success"][0]["request_put"];
-        this->put(key, text_of(wanted, "value"),
-                  std::stoll(wanted.value("lease", std::string("0"))));
+        const json& put_request = request["success"][0]["request_put"];
+        this->put(key, decode_field(put_request, "value"),
+                  std::stoll(put_request.value("lease", std::string("0"))));
     }
     else
     {
         this->erase(key);
     }
-    answer["header"] = {{"revision", std::to_string(this->revision)}};
-    return answer.dump();
+    response["header"] = {{"revision", std::to_string(this->revision)}};
+    return response.dump();
 }
 
 } // namespace parsleytrack::key_value
--- a/tests/fake_store/fake_store_server.hpp
+++ b/tests/fake_store/fake_store_server.hpp
@@ -31,11 +31,11 @@
     std::int64_t revision = 0;
     int calls = 0;
     /// Answers every call with 503, before it takes effect.
-    bool out_of_order = false;
+    bool unavailable = false;
     /// Chances in a hundred that an answer is lost after a call has taken
     /// effect, or the call before it has.
-    int lose_after = 0;
-    int lose_before = 0;
+    int response_loss_percent = 0;
+    int request_loss_percent = 0;
     random_source random{7};
     /// Called with the bytes of each write that takes effect.
     std::function<void(const std::string&, const std::string&)> on_write;
@@ -58,7 +58,7 @@
     std::string transaction(const std::string& body);
     std::string lease_call(const std::string& path, const std::string& body);
     void expire(std::int64_t lease);
-    void tell_watches(const std::string& key, const std::string& event);
+    void notify_watches(const std::string& key, const std::string& event);
 
     struct granted_lease
     {
--- a/tests/feeds/merged_records_test.cpp
+++ b/tests/feeds/merged_records_test.cpp
@@ -29,7 +29,7 @@
                        std::int64_t read_at)
 {
     record_listing made;
-    made.read_at = store_revision(read_at);
+    made.read_revision = store_revision(read_at);
     for (const record_change& entry : entries)
     {
         made.records.push_back(entry.record);
--- a/tests/key_value/etcd_store_test.cpp
+++ b/tests/key_value/etcd_store_test.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr duration patience = std::chrono::seconds(30);
+constexpr duration test_timeout = std::chrono::seconds(30);
 constexpr int unlimited = 100'000;
 const std::string key = "parsleytrack/release/current";
 
@@ -39,7 +39,7 @@
     template <class Condition>
     void run_until(Condition condition)
     {
-        const time_point limit = net::event_loop::now() + patience;
+        const time_point limit = net::event_loop::now() + test_timeout;
         while (!condition() && net::event_loop::now() < limit)
         {
             this->loop.run_for(std::chrono::milliseconds(10));
@@ -136,8 +136,8 @@
     {
         this->server.keys.clear();
         this->server.random.seed(seed);
-        this->server.lose_before = 10;
-        this->server.lose_after = 15;
+        this->server.request_loss_percent = 10;
+        this->server.response_loss_percent = 15;
         std::set<std::string> written;
         this->server.on_write =
             [&](const std::string&, const std::string& bytes)
@@ -145,8 +145,8 @@
             written.insert(decode_envelope(bytes)->value);
         };
         std::vector<std::unique_ptr<etcd_store>> stores;
-        int open = 0;
-        std::map<std::string, bool> told;
+        int pending_calls = 0;
+        std::map<std::string, bool> reported;
         int unknown = 0;
         for (std::uint64_t node = 0; node < 4; ++node)
         {
@@ -156,7 +156,7 @@
         {
             for (std::size_t node = 0; node < stores.size(); ++node)
             {
-                ++open;
+                ++pending_calls;
                 etcd_store& store = *stores[node];
                 const std::string value =
                     std::to_string(round) + "/" + std::to_string(node);
@@ -166,7 +166,7 @@
                     {
                         if (read.has_error())
                         {
-                            --open;
+                            --pending_calls;
                             return;
                         }
                         const auto expected = read.value()
@@ -176,15 +176,15 @@
                             key, expected, value, store_lease(),
                             [&, value](result<swap_outcome> end)
                             {
-                                --open;
+                                --pending_calls;
                                 if (end.has_value())
                                 {
-                                    told[value] = end.value().applied;
+                                    reported[value] = end.value().applied;
                                 }
                                 else if (end.error().code ==
                                          error_code::store_unavailable)
                                 {
-                                    told[value] = false;
+                                    reported[value] = false;
                                 }
                                 else
                                 {
@@ -193,10 +193,10 @@
                             });
                     });
             }
-            this->run_until([&] { return open == 0; });
+            this->run_until([&] { return pending_calls == 0; });
         }
         int applied = 0;
-        for (const auto& [value, was_applied] : told)
+        for (const auto& [value, was_applied] : reported)
         {
             CHECK_EQUAL_TEXT(was_applied, written.contains(value),
                              value.c_str());
@@ -210,7 +210,7 @@
 TEST(etcd_store, an_outage_is_noticed_and_refused_at_once)
 {
     const auto store = this->make_store();
-    this->server.out_of_order = true;
+    this->server.unavailable = true;
     while (store->is_reachable())
     {
         CHECK(this->get(*store).has_error());
@@ -223,7 +223,7 @@
         CHECK(refused.error().retry_after.has_value());
     }
     CHECK(this->server.calls <= before + 2);
-    this->server.out_of_order = false;
+    this->server.unavailable = false;
     this->run_until([&] { return store->is_reachable(); });
     CHECK(this->get(*store).has_value());
 }
@@ -252,13 +252,13 @@
     this->run_until([&] { return view.size() == 3; });
     this->server.erase("instances/c");
     this->run_until([&] { return view.size() == 2; });
-    this->server.out_of_order = true;
+    this->server.unavailable = true;
     this->server.drop_watches();
     this->server.erase("instances/a");
     this->server.put("instances/b", "2");
     this->loop.run_for(std::chrono::milliseconds(300));
     LONGS_EQUAL(2, view.size());
-    this->server.out_of_order = false;
+    this->server.unavailable = false;
     this->run_until([&] { return view.size() == 1; });
     STRCMP_EQUAL("2", view["instances/b"].c_str());
     watch.reset();
--- a/tests/key_value/write_resolution_test.cpp
+++ b/tests/key_value/write_resolution_test.cpp
@@ -45,7 +45,7 @@
     }
 };
 
-struct copy_under_way
+struct delayed_attempt
 {
     store_revision expected;
     std::string id;
@@ -62,14 +62,14 @@
 
 struct totals
 {
-    std::map<write_verdict, int> verdicts;
-    int wrong = 0;
+    std::map<write_status, int> statuses;
+    int contradictions = 0;
 };
 
 // Takes a lost answer or a failed comparison at its word, as a naive client.
-write_verdict naive_verdict(bool succeeded)
+write_status naive_status(bool succeeded)
 {
-    return succeeded ? write_verdict::applied : write_verdict::not_applied;
+    return succeeded ? write_status::applied : write_status::not_applied;
 }
 
 // Several writers race for one key; copies of their transactions arrive late
@@ -79,8 +79,8 @@
     random_source random(seed);
     model_key key;
     std::vector<writer> writers(4);
-    std::vector<copy_under_way> late;
-    std::map<std::string, write_verdict> said;
+    std::vector<delayed_attempt> delayed;
+    std::map<std::string, write_status> reported;
     std::int64_t next_id = 0;
     const auto draw = [&random](std::uint64_t limit)
     {
@@ -92,12 +92,12 @@
         {
             key.erase();
         }
-        if (!late.empty() && draw(6) == 0)
+        if (!delayed.empty() && draw(6) == 0)
         {
-            const std::size_t chosen = draw(late.size());
-            const copy_under_way copy = late[chosen];
-            late.erase(late.begin() + static_cast<long>(chosen));
-            key.swap(copy.expected, copy.id, copy.base);
+            const std::size_t chosen = draw(delayed.size());
+            const delayed_attempt attempt = delayed[chosen];
+            delayed.erase(delayed.begin() + static_cast<long>(chosen));
+            key.swap(attempt.expected, attempt.id, attempt.base);
         }
         const std::size_t index = draw(writers.size());
         writer& one = writers[index];
@@ -111,56 +111,56 @@
             continue;
         }
         const std::uint64_t fate = draw(10);
-        std::optional<write_verdict> verdict;
+        std::optional<write_status> status;
         if (fate < 2)
         {
             // The copy is still on its way when the answer is given up on.
-            late.push_back(
-                {one.expected, one.resolution->next_copy_id(), one.base});
-            one.resolution->answer_lost();
+            delayed.push_back(
+                {one.expected, one.resolution->next_attempt_id(), one.base});
+            one.resolution->record_lost_response();
             if (naive)
             {
-                verdict = write_verdict::not_applied;
+                status = write_status::not_applied;
             }
         }
         else
         {
             const bool applied = key.swap(
-                one.expected, one.resolution->next_copy_id(), one.base);
+                one.expected, one.resolution->next_attempt_id(), one.base);
             if (fate < 5)
             {
-                one.resolution->answer_lost();
+                one.resolution->record_lost_response();
             }
             else if (naive)
             {
-                verdict = naive_verdict(applied);
+                status = naive_status(applied);
             }
             else
             {
-                verdict = applied
-                              ? one.resolution->succeeded()
-                              : one.resolution->failed(key.revision, key.ids);
+                status = applied ? one.resolution->record_success()
+                                 : one.resolution->record_failed_compare(
+                                       key.revision, key.ids);
             }
         }
-        if (!verdict && draw(40) == 0)
+        if (!status && draw(40) == 0)
         {
-            verdict = one.resolution->give_up();
+            status = one.resolution->abandon();
         }
-        if (verdict)
+        if (status)
         {
-            said[one.id] = *verdict;
+            reported[one.id] = *status;
             one.resolution.reset();
         }
     }
     totals sum;
-    for (const auto& [id, verdict] : said)
+    for (const auto& [id, status] : reported)
     {
-        ++sum.verdicts[verdict];
+        ++sum.statuses[status];
         const bool applied = key.ever_applied.contains(id);
         const bool contradicts =
-            (verdict == write_verdict::applied && !applied) ||
-            (verdict == write_verdict::not_applied && applied);
-        sum.wrong += contradicts ? 1 : 0;
+            (status == write_status::applied && !applied) ||
+            (status == write_status::not_applied && applied);
+        sum.contradictions += contradicts ? 1 : 0;
     }
     return sum;
 }
@@ -175,52 +175,54 @@
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
     {
         const totals one = race(seed, 5000, false);
-        LONGS_EQUAL_TEXT(0, one.wrong, std::to_string(seed).c_str());
-        for (const auto& [verdict, count] : one.verdicts)
+        LONGS_EQUAL_TEXT(0, one.contradictions, std::to_string(seed).c_str());
+        for (const auto& [status, count] : one.statuses)
         {
-            sum.verdicts[verdict] += count;
+            sum.statuses[status] += count;
         }
     }
     // Each verdict occurs, and most writes are decided.
-    CHECK(sum.verdicts[write_verdict::unknown] > 0);
-    CHECK(sum.verdicts[write_verdict::not_applied] > 0);
-    CHECK(sum.verdicts[write_verdict::applied] >
-          sum.verdicts[write_verdict::unknown]);
+    CHECK(sum.statuses[write_status::unknown] > 0);
+    CHECK(sum.statuses[write_status::not_applied] > 0);
+    CHECK(sum.statuses[write_status::applied] >
+          sum.statuses[write_status::unknown]);
 }
 
 TEST(write_resolution, a_naive_client_contradicts_what_happened)
 {
-    CHECK(race(1, 5000, true).wrong > 0);
+    CHECK(race(1, 5000, true).contradictions > 0);
 }
 
 TEST(write_resolution, a_write_that_was_overwritten_in_turn_was_applied)
 {
     write_resolution write("mine", store_revision(4), "base.1");
-    write.answer_lost();
-    CHECK(write.failed(store_revision(9), {"other.1", "mine.2", "base.1"}) ==
-          write_verdict::applied);
+    write.record_lost_response();
+    CHECK(write.record_failed_compare(store_revision(9),
+                                      {"other.1", "mine.2", "base.1"}) ==
+          write_status::applied);
 }
 
 TEST(write_resolution, ids_that_reach_back_to_the_base_prove_a_loss)
 {
     write_resolution write("mine", store_revision(4), "base.1");
-    write.answer_lost();
-    CHECK(write.failed(store_revision(9), {"other.1", "base.1"}) ==
-          write_verdict::not_applied);
+    write.record_lost_response();
+    CHECK(
+        write.record_failed_compare(store_revision(9), {"other.1", "base.1"}) ==
+        write_status::not_applied);
 }
 
 TEST(write_resolution, ids_that_do_not_reach_back_prove_nothing)
 {
     write_resolution write("mine", store_revision(4), "base.1");
-    write.answer_lost();
-    CHECK(write.failed(store_revision(9), {"other.1"}) ==
-          write_verdict::unknown);
+    write.record_lost_response();
+    CHECK(write.record_failed_compare(store_revision(9), {"other.1"}) ==
+          write_status::unknown);
 }
 
 TEST(write_resolution, a_late_copy_may_create_a_deleted_key_again)
 {
     write_resolution write("mine", store_revision(), "");
-    write.answer_lost();
-    CHECK(write.failed(store_revision(9), {"other.1"}) ==
-          write_verdict::unknown);
+    write.record_lost_response();
+    CHECK(write.record_failed_compare(store_revision(9), {"other.1"}) ==
+          write_status::unknown);
 }
--- a/tests/platform/kv_adapter_test.cpp
+++ b/tests/platform/kv_adapter_test.cpp
@@ -57,7 +57,7 @@
                  {"key":"b","revision":4,"deleted":true}],"currentRev":4})"));
     CHECK_EQUAL(2, read.value().changes.size());
     CHECK(read.value().changes[1].deleted);
-    CHECK_EQUAL(4, read.value().read_at.count());
+    CHECK_EQUAL(4, read.value().read_revision.count());
 }
 
 TEST(kv_adapter, a_conflict_returns_the_current_records)
--- a/tests/release/release_test.cpp
+++ b/tests/release/release_test.cpp
@@ -53,8 +53,8 @@
 TEST(release, is_in_force_everywhere_within_13_s_with_a_failing_store)
 {
     test_fleet fleet(9);
-    fleet.store.lose_before = 10;
-    fleet.store.lose_after = 15;
+    fleet.store.request_loss_percent = 10;
+    fleet.store.response_loss_percent = 15;
     std::int64_t in_force = 0;
     for (int round = 0; round < 6; ++round)
     {
@@ -100,7 +100,7 @@
     CHECK(fleet.run_until(
         in_force_limit,
         [&] { return fleet.nodes[2]->fleet.replicas().size() == 1; }));
-    fleet.store.out_of_order = true;
+    fleet.store.unavailable = true;
     fleet.store.drop_watches();
     test_node& late = fleet.add_node();
     CHECK(fleet.run_until(in_force_limit,
