--- a/src/cli/load_addresses.hpp
+++ b/src/cli/address_cache.hpp
@@ -13,14 +13,14 @@
 
 /// Asks the fleet which nodes to use and keeps the answer for its validity, as
 /// callers do.
-class load_addresses
+class address_cache
 {
 public:
     /// \param http_client Sends the questions.
     /// \param load Says which nodes to ask, and for which service.
     /// \param first_node Which of the nodes is asked first.
-    load_addresses(net::http_client& http_client, const load_options& load,
-                   std::size_t first_node);
+    address_cache(net::http_client& http_client, const load_options& load,
+                  std::size_t first_node);
 
     /// \returns Where to send a request now. The answer in hand is used until
     /// a newer one has come.
@@ -30,16 +30,16 @@
     void refresh();
 
 private:
-    void read(const result<net::http_response>& answer);
+    void handle_response(const result<net::http_response>& response);
 
     net::http_client& client;
     std::vector<endpoint> nodes;
     std::string target;
-    std::vector<endpoint> known;
+    std::vector<endpoint> addresses;
     time_point valid_until;
-    time_point ask_again_at;
+    time_point next_refresh_at;
     std::size_t next_node;
-    std::unique_ptr<net::http_call> asking;
+    std::unique_ptr<net::http_call> pending_call;
 };
 
 } // namespace parsleytrack::cli
--- a/src/cli/load_arrivals.cpp
+++ b/src/cli/arrival_process.cpp
@@ -1,4 +1,4 @@
-#include "cli/load_arrivals.hpp"
+#include "cli/arrival_process.hpp"
 
 #include <algorithm>
 
@@ -12,14 +12,14 @@
 
 } // namespace
 
-load_arrivals::load_arrivals(const load_options& load)
+arrival_process::arrival_process(const load_options& load)
     : rate(load.rate), burst_factor(load.burst_factor),
       burst_interval(load.burst_interval), burst_length(load.burst_length),
       random(load.seed)
 {
 }
 
-duration load_arrivals::next()
+duration arrival_process::next()
 {
     // Thinning: candidates are drawn at the highest rate and kept with the
     // probability that the rate at their time has of it.
@@ -34,7 +34,7 @@
     return this->last;
 }
 
-double load_arrivals::rate_at(duration since_start) const
+double arrival_process::rate_at(duration since_start) const
 {
     if (this->burst_interval == duration::zero())
     {
--- a/src/cli/load_arrivals.hpp
+++ b/src/cli/arrival_process.hpp
@@ -8,10 +8,10 @@
 
 /// Draws when open-loop requests arrive: a Poisson process whose rate is
 /// higher in bursts.
-class load_arrivals
+class arrival_process
 {
 public:
-    explicit load_arrivals(const load_options& load);
+    explicit arrival_process(const load_options& load);
 
     /// \returns The time of the next arrival since the start.
     duration next();
--- a/src/cli/load_batch.hpp
+++ b/src/cli/batch_workload.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "cli/load_addresses.hpp"
-#include "cli/load_prompts.hpp"
+#include "cli/address_cache.hpp"
 #include "cli/load_report.hpp"
+#include "cli/request_generator.hpp"
 #include "net/event_loop.hpp"
 
 #include <memory>
@@ -13,15 +13,15 @@
 {
 
 /// Submits batch jobs, follows them to their end and counts their results.
-class load_batch
+class batch_workload
 {
 public:
-    load_batch(net::event_loop& event_loop, net::http_client& http_client,
-               load_addresses& fleet_addresses, const load_options& load,
-               load_report& measured);
+    batch_workload(net::event_loop& event_loop, net::http_client& http_client,
+                   address_cache& fleet_addresses, const load_options& load,
+                   load_report& measured);
 
     /// Submits all jobs.
-    void start(load_prompts& prompts, time_point start_time);
+    void start(request_generator& prompts, time_point start_time);
 
     /// \returns Whether every job has ended or was refused.
     bool is_done() const;
@@ -31,7 +31,7 @@
     {
         submitting,
         running,
-        reading,
+        fetching_results,
         done
     };
     struct job
@@ -40,22 +40,23 @@
         std::string id;
         net::http_request submission;
         time_point submitted;
-        std::uint64_t finished = 0;
+        std::uint64_t ended_items = 0;
         std::unique_ptr<net::http_call> call;
-        bool waiting = false;
+        bool call_pending = false;
     };
 
     void poll();
     void advance(job& entry);
     void send(job& entry, const net::http_request& request);
-    void read(job& entry, const result<net::http_response>& answer);
-    void read_acceptance(job& entry, const net::http_response& answer);
-    void read_status(job& entry, const net::http_response& answer);
-    void read_results(job& entry, const net::http_response& answer);
+    void handle_response(job& entry,
+                         const result<net::http_response>& response);
+    void handle_submission(job& entry, const net::http_response& response);
+    void handle_status(job& entry, const net::http_response& response);
+    void handle_results(job& entry, const net::http_response& response);
 
     net::event_loop& loop;
     net::http_client& client;
-    load_addresses& addresses;
+    address_cache& addresses;
     load_options options;
     load_report& report;
     std::vector<std::unique_ptr<job>> jobs;
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -43,7 +43,7 @@
 {
     net::http_request request;
     request.target = "/v1/nodes";
-    return show(nodes.ask(request), print_nodes);
+    return print_response(nodes.send_request(request), print_nodes);
 }
 
 exit_code show_addresses(node_client& nodes, const std::vector<std::string>&)
@@ -55,7 +55,7 @@
     }
     net::http_request request;
     request.target = "/v1/addresses?service=" + FLAGS_service;
-    return show(nodes.ask(request), print_addresses);
+    return print_response(nodes.send_request(request), print_addresses);
 }
 
 } // namespace
--- a/src/cli/job_commands.cpp
+++ b/src/cli/job_commands.cpp
@@ -24,11 +24,11 @@
     return "/v1/batches/" + id + suffix;
 }
 
-result<reply> ask_job(node_client& nodes, const std::string& id)
+result<node_response> get_job(node_client& nodes, const std::string& id)
 {
     net::http_request request;
     request.target = job_target(id);
-    return nodes.ask(request);
+    return nodes.send_request(request);
 }
 
 void print_job(const json& job)
@@ -41,7 +41,7 @@
     rows.print(std::cout);
 }
 
-bool is_over(const json& job)
+bool has_ended(const json& job)
 {
     const std::string status = cell(job, "status");
     return status == "completed" || status == "cancelled" || status == "failed";
@@ -51,16 +51,16 @@
 {
     while (true)
     {
-        const result<reply> answer = ask_job(nodes, id);
-        if (answer.has_error() || !answer.value().ok())
+        const result<node_response> response = get_job(nodes, id);
+        if (response.has_error() || !response.value().ok())
         {
-            return explain(answer);
+            return print_failure(response);
         }
-        const json job = json::parse(answer.value().body, nullptr, false);
+        const json job = json::parse(response.value().body, nullptr, false);
         std::cerr << "job " << id << ": " << cell(job, "status") << ", "
                   << cell(job, "ended_items") << " of " << cell(job, "items")
                   << " items ended\n";
-        if (is_over(job))
+        if (has_ended(job))
         {
             return cell(job, "status") == "completed" ? exit_code::done
                                                       : exit_code::refused;
@@ -94,14 +94,14 @@
     }
     request.body = *items;
     std::string id;
-    const exit_code outcome = show(nodes.ask(request),
-                                   [&id](const json& job)
-                                   {
-                                       id = cell(job, "id");
-                                       std::cout << "accepted as job " << id
-                                                 << ", " << cell(job, "items")
-                                                 << " items\n";
-                                   });
+    const exit_code outcome =
+        print_response(nodes.send_request(request),
+                       [&id](const json& job)
+                       {
+                           id = cell(job, "id");
+                           std::cout << "accepted as job " << id << ", "
+                                     << cell(job, "items") << " items\n";
+                       });
     if (outcome != exit_code::done || !FLAGS_wait || id.empty())
     {
         return outcome;
@@ -112,19 +112,19 @@
 exit_code show_job(node_client& nodes,
                    const std::vector<std::string>& arguments)
 {
-    return show(ask_job(nodes, arguments.at(0)), print_job);
+    return print_response(get_job(nodes, arguments.at(0)), print_job);
 }
 
 exit_code print_results(node_client& nodes,
                         const std::vector<std::string>& arguments)
 {
-    const result<reply> answer =
+    const result<node_response> response =
         nodes.download(job_target(arguments.at(0), "/results"),
                        [](std::string_view piece) { std::cout << piece; });
     std::cout.flush();
-    if (answer.has_error() || !answer.value().ok())
+    if (response.has_error() || !response.value().ok())
     {
-        return explain(answer);
+        return print_failure(response);
     }
     return exit_code::done;
 }
@@ -137,7 +137,7 @@
     request.target = job_target(arguments.at(0), "/cancel");
     // A cancel may be repeated without harm.
     request.headers = {{"Idempotency-Key", "cancel-" + arguments.at(0)}};
-    return show(nodes.ask(request), print_job);
+    return print_response(nodes.send_request(request), print_job);
 }
 
 } // namespace
--- a/src/cli/load_latency.cpp
+++ b/src/cli/latency_histogram.cpp
@@ -1,4 +1,4 @@
-#include "cli/load_latency.hpp"
+#include "cli/latency_histogram.hpp"
 
 #include <boost/histogram.hpp>
 
@@ -14,25 +14,26 @@
 
 constexpr unsigned bucket_count = 600;
 constexpr double lowest_ms = 0.01;
-constexpr double highest_bound_ms = 600'000;
+constexpr double upper_bound_ms = 600'000;
 constexpr double microseconds_per_millisecond = 1000;
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 
 } // namespace
 
-struct load_latency::state
+struct latency_histogram::state
 {
     decltype(bh::make_histogram(log_axis())) histogram =
-        bh::make_histogram(log_axis(bucket_count, lowest_ms, highest_bound_ms));
+        bh::make_histogram(log_axis(bucket_count, lowest_ms, upper_bound_ms));
 };
 
-load_latency::load_latency() : contents(std::make_unique<state>()) {}
-load_latency::~load_latency() = default;
-load_latency::load_latency(load_latency&&) noexcept = default;
-load_latency& load_latency::operator=(load_latency&&) noexcept = default;
+latency_histogram::latency_histogram() : contents(std::make_unique<state>()) {}
+latency_histogram::~latency_histogram() = default;
+latency_histogram::latency_histogram(latency_histogram&&) noexcept = default;
+latency_histogram&
+latency_histogram::operator=(latency_histogram&&) noexcept = default;
 
-void load_latency::record(duration value)
+void latency_histogram::record(duration value)
 {
     const double milliseconds =
         static_cast<double>(value.count()) / microseconds_per_millisecond;
@@ -41,15 +42,15 @@
     this->highest_ms = std::max(this->highest_ms, milliseconds);
 }
 
-double load_latency::percentile_ms(double fraction) const
+double latency_histogram::percentile_ms(double fraction) const
 {
-    const double wanted = fraction * static_cast<double>(this->recorded);
-    double seen = 0;
+    const double target_count = fraction * static_cast<double>(this->recorded);
+    double cumulative_count = 0;
     for (const auto& bucket :
          bh::indexed(this->contents->histogram, bh::coverage::all))
     {
-        seen += *bucket;
-        if (seen > 0 && seen >= wanted)
+        cumulative_count += *bucket;
+        if (cumulative_count > 0 && cumulative_count >= target_count)
         {
             return std::min(bucket.bin().upper(), this->highest_ms);
         }
--- a/src/cli/load_latency.hpp
+++ b/src/cli/latency_histogram.hpp
@@ -9,13 +9,13 @@
 {
 
 /// Latencies of a load run and their percentiles, within 3%.
-class load_latency
+class latency_histogram
 {
 public:
-    load_latency();
-    ~load_latency();
-    load_latency(load_latency&&) noexcept;
-    load_latency& operator=(load_latency&&) noexcept;
+    latency_histogram();
+    ~latency_histogram();
+    latency_histogram(latency_histogram&&) noexcept;
+    latency_histogram& operator=(latency_histogram&&) noexcept;
 
     void record(duration value);
 
--- a/src/cli/load_command.cpp
+++ b/src/cli/load_command.cpp
@@ -75,7 +75,7 @@
     options.service = service_name(FLAGS_service);
     options.model = model_name(FLAGS_model);
     options.seed = FLAGS_seed;
-    options.length = to_duration(FLAGS_seconds);
+    options.sending_time = to_duration(FLAGS_seconds);
     options.rate = FLAGS_rate;
     options.burst_factor = FLAGS_burst_factor;
     options.burst_interval = to_duration(FLAGS_burst_every_s);
--- a/src/cli/load_options.hpp
+++ b/src/cli/load_options.hpp
@@ -22,7 +22,7 @@
     std::uint64_t seed = 1;
     /// Callers that each ask for addresses of their own.
     int callers = 16;
-    duration length = std::chrono::seconds(30);
+    duration sending_time = std::chrono::seconds(30);
 
     /// Online requests a second, outside of bursts.
     double rate = 10;
--- a/src/cli/load_report.cpp
+++ b/src/cli/load_report.cpp
@@ -17,11 +17,11 @@
 
 using nlohmann::json;
 
-constexpr std::size_t plot_width = 40;
-constexpr int svg_height = 200;
-constexpr int svg_second_width = 8;
+constexpr std::size_t plot_width_chars = 40;
+constexpr int svg_height_px = 200;
+constexpr int svg_second_width_px = 8;
 
-std::string decimal(double value)
+std::string format_decimal(double value)
 {
     char text[32];
     std::snprintf(text, sizeof(text), "%.1f", value);
@@ -33,7 +33,7 @@
     return seconds > 0 ? amount / seconds : 0;
 }
 
-json latency_json(const load_latency& values)
+json latency_json(const latency_histogram& values)
 {
     return {{"count", values.count()},
             {"p50_ms", values.percentile_ms(0.5)},
@@ -42,18 +42,20 @@
             {"max_ms", values.max_ms()}};
 }
 
-void add_latency(table& rows, const char* name, const load_latency& values)
+void add_latency_row(table& rows, const char* name,
+                     const latency_histogram& values)
 {
     rows.add({name, std::to_string(values.count()),
-              decimal(values.percentile_ms(0.5)),
-              decimal(values.percentile_ms(0.95)),
-              decimal(values.percentile_ms(0.99)), decimal(values.max_ms())});
+              format_decimal(values.percentile_ms(0.5)),
+              format_decimal(values.percentile_ms(0.95)),
+              format_decimal(values.percentile_ms(0.99)),
+              format_decimal(values.max_ms())});
 }
 
-double highest_latency(const std::vector<load_second>& seconds)
+double highest_p95_ms(const std::vector<second_stats>& seconds)
 {
     double highest = 1;
-    for (const load_second& entry : seconds)
+    for (const second_stats& entry : seconds)
     {
         highest = std::max(highest, entry.first_token.percentile_ms(0.95));
     }
@@ -71,7 +73,7 @@
 
 } // namespace
 
-load_second& load_report::second_at(duration since_start)
+second_stats& load_report::second_at(duration since_start)
 {
     const auto index = static_cast<std::size_t>(std::max<std::int64_t>(
         std::chrono::duration_cast<std::chrono::seconds>(since_start).count(),
@@ -86,7 +88,7 @@
 std::string load_report::to_json() const
 {
     json by_second = json::array();
-    for (const load_second& entry : this->seconds)
+    for (const second_stats& entry : this->seconds)
     {
         by_second.push_back(
             {{"sent", entry.sent},
@@ -97,15 +99,15 @@
     }
     const json online{
         {"sent", this->sent},
-        {"answered", this->answered},
+        {"answered", this->completed},
         {"on_time", this->on_time},
-        {"cut", this->cut},
+        {"cut", this->interrupted},
         {"refused", this->refused},
         {"goodput_per_s", per_second(this->on_time, this->sending_s)},
         {"tokens", this->online_tokens},
         {"first_token", latency_json(this->first_token)},
         {"between_tokens", latency_json(this->between_tokens)},
-        {"whole_answer", latency_json(this->whole)}};
+        {"whole_answer", latency_json(this->response_time)}};
     const json batch{
         {"jobs_accepted", this->jobs_accepted},
         {"jobs_complete", this->jobs_complete},
@@ -126,35 +128,36 @@
 std::string load_report::to_text() const
 {
     std::ostringstream out;
-    out << "sent " << this->sent << ", answered " << this->answered
-        << ", on time " << this->on_time << ", cut " << this->cut
-        << ", goodput " << decimal(per_second(this->on_time, this->sending_s))
+    out << "sent " << this->sent << ", answered " << this->completed
+        << ", on time " << this->on_time << ", cut " << this->interrupted
+        << ", goodput "
+        << format_decimal(per_second(this->on_time, this->sending_s))
         << " answers/s\n";
     print_reasons(out, "refused", this->refused);
     table rows({"LATENCY IN MS", "COUNT", "P50", "P95", "P99", "MAX"});
-    add_latency(rows, "first token", this->first_token);
-    add_latency(rows, "between tokens", this->between_tokens);
-    add_latency(rows, "whole answer", this->whole);
+    add_latency_row(rows, "first token", this->first_token);
+    add_latency_row(rows, "between tokens", this->between_tokens);
+    add_latency_row(rows, "whole answer", this->response_time);
     rows.print(out);
     if (this->jobs_accepted > 0 || !this->jobs_refused.empty())
     {
         out << "batch: jobs accepted " << this->jobs_accepted << ", complete "
             << this->jobs_complete << ", late " << this->jobs_late << ", items "
             << this->batch_items_finished << ", "
-            << decimal(per_second(static_cast<double>(this->batch_tokens),
-                                  this->elapsed_s))
+            << format_decimal(per_second(
+                   static_cast<double>(this->batch_tokens), this->elapsed_s))
             << " tokens/s\n";
         print_reasons(out, "job refused", this->jobs_refused);
     }
     out << "first token p95 by second, in ms:\n";
-    const double scale = highest_latency(this->seconds);
+    const double scale = highest_p95_ms(this->seconds);
     for (std::size_t index = 0; index < this->seconds.size(); ++index)
     {
         const double value =
             this->seconds[index].first_token.percentile_ms(0.95);
         const auto width = static_cast<std::size_t>(
-            std::lround(value / scale * static_cast<double>(plot_width)));
-        out << index << "\t" << decimal(value) << "\t"
+            std::lround(value / scale * static_cast<double>(plot_width_chars)));
+        out << index << "\t" << format_decimal(value) << "\t"
             << std::string(width, '#') << '\n';
     }
     return out.str();
@@ -162,27 +165,29 @@
 
 std::string load_report::to_svg() const
 {
-    const double scale = highest_latency(this->seconds);
+    const double scale = highest_p95_ms(this->seconds);
     const std::size_t width =
-        std::max<std::size_t>(this->seconds.size(), 1) * svg_second_width;
+        std::max<std::size_t>(this->seconds.size(), 1) * svg_second_width_px;
     std::ostringstream out;
     out << R"(<svg xmlns="http://www.w3.org/2000/svg" width=")" << width
-        << R"(" height=")" << svg_height << "\">\n<title>first token by second,"
-        << " p50 and p95; full height is " << decimal(scale) << " ms</title>\n";
-    const auto line = [&](double fraction, const char* colour)
+        << R"(" height=")" << svg_height_px
+        << "\">\n<title>first token by second,"
+        << " p50 and p95; full height is " << format_decimal(scale)
+        << " ms</title>\n";
+    const auto draw_line = [&](double fraction, const char* colour)
     {
         out << R"(<polyline fill="none" stroke=")" << colour << R"(" points=")";
         for (std::size_t index = 0; index < this->seconds.size(); ++index)
         {
             const double value =
                 this->seconds[index].first_token.percentile_ms(fraction);
-            out << index * svg_second_width << ','
-                << decimal(svg_height * (1 - value / scale)) << ' ';
+            out << index * svg_second_width_px << ','
+                << format_decimal(svg_height_px * (1 - value / scale)) << ' ';
         }
         out << "\"/>\n";
     };
-    line(0.5, "steelblue");
-    line(0.95, "firebrick");
+    draw_line(0.5, "steelblue");
+    draw_line(0.95, "firebrick");
     out << "</svg>\n";
     return out.str();
 }
--- a/src/cli/load_report.hpp
+++ b/src/cli/load_report.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cli/load_latency.hpp"
+#include "cli/latency_histogram.hpp"
 #include "units/time.hpp"
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 {
 
 /// What one second of a load run was like.
-struct load_second
+struct second_stats
 {
     int sent = 0;
     int refused = 0;
     std::uint64_t batch_items = 0;
-    load_latency first_token;
+    latency_histogram first_token;
 };
 
 /// What was measured in a load run.
@@ -25,17 +25,17 @@
 {
     int sent = 0;
     /// Whole answers.
-    int answered = 0;
+    int completed = 0;
     /// Whole answers within their deadline.
     int on_time = 0;
     /// Answers that broke off.
-    int cut = 0;
+    int interrupted = 0;
     /// Refusals and failures by reason.
     std::map<std::string, int> refused;
     std::uint64_t online_tokens = 0;
-    load_latency first_token;
-    load_latency between_tokens;
-    load_latency whole;
+    latency_histogram first_token;
+    latency_histogram between_tokens;
+    latency_histogram response_time;
 
     int jobs_accepted = 0;
     int jobs_complete = 0;
@@ -47,10 +47,10 @@
     /// Seconds of sending, and until the last answer.
     double sending_s = 0;
     double elapsed_s = 0;
-    std::vector<load_second> seconds;
+    std::vector<second_stats> seconds;
 
     /// \returns The entry of the second in which something happened.
-    load_second& second_at(duration since_start);
+    second_stats& second_at(duration since_start);
 
     /// \returns All figures as JSON, for programs.
     std::string to_json() const;
--- a/src/cli/load_runner.cpp
+++ b/src/cli/load_runner.cpp
@@ -10,10 +10,10 @@
 {
 
 constexpr duration refresh_interval = std::chrono::milliseconds(100);
-constexpr duration address_patience = std::chrono::seconds(10);
+constexpr duration address_timeout = std::chrono::seconds(10);
 constexpr duration loop_interval = std::chrono::milliseconds(100);
 /// Beyond its deadline, how long an answer is waited for.
-constexpr duration answer_margin = std::chrono::seconds(10);
+constexpr duration response_margin = std::chrono::seconds(10);
 constexpr double microseconds_per_second = 1e6;
 
 double to_seconds(duration span)
@@ -21,13 +21,13 @@
     return static_cast<double>(span.count()) / microseconds_per_second;
 }
 
-std::vector<std::unique_ptr<load_addresses>>
+std::vector<std::unique_ptr<address_cache>>
 make_callers(net::http_client& client, const load_options& load)
 {
-    std::vector<std::unique_ptr<load_addresses>> callers;
+    std::vector<std::unique_ptr<address_cache>> callers;
     for (int number = 0; number < load.callers; ++number)
     {
-        callers.push_back(std::make_unique<load_addresses>(
+        callers.push_back(std::make_unique<address_cache>(
             client, load, static_cast<std::size_t>(number)));
     }
     return callers;
@@ -64,7 +64,7 @@
     {
         this->loop.run_for(loop_interval);
     }
-    this->measured.sending_s = to_seconds(this->options.length);
+    this->measured.sending_s = to_seconds(this->options.sending_time);
     this->measured.elapsed_s =
         to_seconds(net::event_loop::now() - this->start_time);
     // Ended calls are freed before the client.
@@ -74,7 +74,7 @@
 
 bool load_runner::wait_for_addresses()
 {
-    const time_point end = net::event_loop::now() + address_patience;
+    const time_point end = net::event_loop::now() + address_timeout;
     while (!this->all_have_addresses() && net::event_loop::now() < end)
     {
         this->loop.run_for(loop_interval);
@@ -85,7 +85,7 @@
 bool load_runner::all_have_addresses()
 {
     return std::all_of(this->callers.begin(), this->callers.end(),
-                       [](const std::unique_ptr<load_addresses>& caller)
+                       [](const std::unique_ptr<address_cache>& caller)
                        { return caller->pick().has_value(); });
 }
 
@@ -97,7 +97,7 @@
         return;
     }
     const duration arrival = this->arrivals.next();
-    if (arrival >= this->options.length)
+    if (arrival >= this->options.sending_time)
     {
         this->sending = false;
         return;
@@ -113,7 +113,7 @@
 
 void load_runner::send_online(duration arrival)
 {
-    const net::http_request drawn = this->prompts.online();
+    const net::http_request generated = this->prompts.online_request();
     this->measured.sent += 1;
     this->measured.second_at(arrival).sent += 1;
     auto request = std::make_unique<online_request>();
@@ -124,11 +124,11 @@
     const auto target = this->callers[number % this->callers.size()]->pick();
     if (!target)
     {
-        this->refuse(*request, "no address");
+        this->record_refusal(*request, "no address");
         return;
     }
-    net::http_request limited = drawn;
-    limited.total_timeout = this->options.deadline + answer_margin;
+    net::http_request timed_request = generated;
+    timed_request.total_timeout = this->options.deadline + response_margin;
     online_request& entry = *request;
     net::http_client::callbacks hooks;
     hooks.on_head = [&entry](const net::http_response& head)
@@ -139,54 +139,55 @@
     {
         entry.stream.add(piece, net::event_loop::now());
     };
-    hooks.on_end = [this, number](const result<net::http_response>& answer)
+    hooks.on_end = [this, number](const result<net::http_response>& response)
     {
-        this->end_online(number, answer);
+        this->handle_online_end(number, response);
     };
     this->requests[number] = std::move(request);
-    entry.call = this->client.send(*target, limited, std::move(hooks));
+    entry.call = this->client.send(*target, timed_request, std::move(hooks));
 }
 
-void load_runner::end_online(std::uint64_t number,
-                             const result<net::http_response>& answer)
+void load_runner::handle_online_end(std::uint64_t number,
+                                    const result<net::http_response>& response)
 {
     auto found = this->requests.find(number);
     const std::shared_ptr<online_request> request = std::move(found->second);
     this->requests.erase(found);
-    if (answer.has_error())
+    if (response.has_error())
     {
-        const bool begun = !request->stream.tokens().empty();
-        this->measured.cut += begun ? 1 : 0;
-        this->refuse(*request,
-                     begun ? "cut"
-                           : std::string(to_string(answer.error().code)));
+        const bool has_tokens = !request->stream.token_times().empty();
+        this->measured.interrupted += has_tokens ? 1 : 0;
+        this->record_refusal(
+            *request,
+            has_tokens ? "cut" : std::string(to_string(response.error().code)));
     }
     else if (request->status != 200)
     {
-        this->refuse(*request,
-                     refusal_reason(request->stream.rest(), request->status));
+        this->record_refusal(
+            *request,
+            refusal_reason(request->stream.non_event_body(), request->status));
     }
     else if (!request->stream.is_complete())
     {
-        this->measured.cut += 1;
-        this->refuse(*request, "cut");
+        this->measured.interrupted += 1;
+        this->record_refusal(*request, "cut");
     }
     else
     {
-        this->measure(*request);
+        this->record_response(*request);
     }
     // The call is in the middle of this callback, so it goes later.
     this->loop.post([request] {});
 }
 
-void load_runner::measure(const online_request& request)
+void load_runner::record_response(const online_request& request)
 {
-    const auto& tokens = request.stream.tokens();
-    const duration whole = net::event_loop::now() - request.sent;
-    this->measured.answered += 1;
-    this->measured.on_time += whole <= this->options.deadline ? 1 : 0;
+    const auto& tokens = request.stream.token_times();
+    const duration response_time = net::event_loop::now() - request.sent;
+    this->measured.completed += 1;
+    this->measured.on_time += response_time <= this->options.deadline ? 1 : 0;
     this->measured.online_tokens += tokens.size();
-    this->measured.whole.record(whole);
+    this->measured.response_time.record(response_time);
     if (tokens.empty())
     {
         return;
@@ -200,8 +201,8 @@
     }
 }
 
-void load_runner::refuse(const online_request& request,
-                         const std::string& reason)
+void load_runner::record_refusal(const online_request& request,
+                                 const std::string& reason)
 {
     this->measured.refused[reason] += 1;
     this->measured.second_at(request.arrival).refused += 1;
--- a/src/cli/load_runner.hpp
+++ b/src/cli/load_runner.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "cli/load_addresses.hpp"
-#include "cli/load_arrivals.hpp"
-#include "cli/load_batch.hpp"
+#include "cli/address_cache.hpp"
+#include "cli/arrival_process.hpp"
+#include "cli/batch_workload.hpp"
 #include "cli/load_options.hpp"
-#include "cli/load_prompts.hpp"
 #include "cli/load_report.hpp"
-#include "cli/load_stream.hpp"
+#include "cli/request_generator.hpp"
+#include "cli/token_stream_parser.hpp"
 #include "net/event_loop.hpp"
 #include "net/http_client.hpp"
 
@@ -35,7 +35,7 @@
 private:
     struct online_request
     {
-        load_stream stream;
+        token_stream_parser stream;
         time_point sent;
         duration arrival = duration::zero();
         int status = 0;
@@ -46,20 +46,21 @@
     bool all_have_addresses();
     void schedule_next();
     void send_online(duration arrival);
-    void end_online(std::uint64_t number,
-                    const result<net::http_response>& answer);
-    void measure(const online_request& request);
-    void refuse(const online_request& request, const std::string& reason);
+    void handle_online_end(std::uint64_t number,
+                           const result<net::http_response>& response);
+    void record_response(const online_request& request);
+    void record_refusal(const online_request& request,
+                        const std::string& reason);
     bool is_done() const;
 
     load_options options;
     net::event_loop loop;
     net::http_client client{this->loop};
-    std::vector<std::unique_ptr<load_addresses>> callers;
-    load_arrivals arrivals;
-    load_prompts prompts;
+    std::vector<std::unique_ptr<address_cache>> callers;
+    arrival_process arrivals;
+    request_generator prompts;
     load_report measured;
-    load_batch batch;
+    batch_workload batch;
     std::map<std::uint64_t, std::unique_ptr<online_request>> requests;
     std::uint64_t next_number = 0;
     time_point start_time;
--- a/src/cli/node_client.cpp
+++ b/src/cli/node_client.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-bool may_repeat(const net::http_request& request)
+bool is_repeatable(const net::http_request& request)
 {
     return request.method == "GET" ||
            net::find_header(request.headers, "Idempotency-Key") != nullptr;
@@ -19,34 +19,37 @@
 } // namespace
 
 node_client::node_client(std::vector<endpoint> nodes, duration timeout)
-    : addresses(std::move(nodes)), answer_timeout(timeout)
+    : addresses(std::move(nodes)), response_timeout(timeout)
 {
 }
 
-result<reply> node_client::ask(const net::http_request& request)
+result<node_response>
+node_client::send_request(const net::http_request& request)
 {
-    error last{error_code::peer_unreachable,
-               "no node was named; use --nodes",
-               ran_state::no,
-               {}};
+    error last_error{error_code::peer_unreachable,
+                     "no node was named; use --nodes",
+                     ran_state::no,
+                     {}};
     for (const endpoint& node : this->addresses)
     {
-        result<reply> answer = this->ask_node(node, request, nullptr);
-        if (answer.has_value())
+        result<node_response> response =
+            this->send_to_node(node, request, nullptr);
+        if (response.has_value())
         {
-            return answer;
+            return response;
         }
-        last = answer.error();
-        if (last.ran == ran_state::unknown && !may_repeat(request))
+        last_error = response.error();
+        if (last_error.ran == ran_state::unknown && !is_repeatable(request))
         {
-            return last;
+            return last_error;
         }
     }
-    return last;
+    return last_error;
 }
 
-result<reply> node_client::ask_host(const std::string& host,
-                                    const net::http_request& request)
+result<node_response>
+node_client::send_to_host(const std::string& host,
+                          const net::http_request& request)
 {
     if (this->addresses.empty())
     {
@@ -55,64 +58,67 @@
                      ran_state::no,
                      {}};
     }
-    return this->ask_node(endpoint{host, this->addresses.front().port}, request,
-                          nullptr);
+    return this->send_to_node(endpoint{host, this->addresses.front().port},
+                              request, nullptr);
 }
 
-result<reply> node_client::download(const std::string& target,
-                                    const piece_callback& on_piece)
+result<node_response> node_client::download(const std::string& target,
+                                            const piece_callback& on_piece)
 {
     net::http_request request;
     request.target = target;
-    bool begun = false;
-    const auto mark = [&begun, &on_piece](std::string_view piece)
+    bool body_started = false;
+    const auto forward_piece =
+        [&body_started, &on_piece](std::string_view piece)
     {
-        begun = true;
+        body_started = true;
         on_piece(piece);
     };
-    error last{error_code::peer_unreachable,
-               "no node was named; use --nodes",
-               ran_state::no,
-               {}};
+    error last_error{error_code::peer_unreachable,
+                     "no node was named; use --nodes",
+                     ran_state::no,
+                     {}};
     for (const endpoint& node : this->addresses)
     {
-        result<reply> answer = this->ask_node(node, request, mark);
-        if (answer.has_value())
+        result<node_response> response =
+            this->send_to_node(node, request, forward_piece);
+        if (response.has_value())
         {
-            return answer;
+            return response;
         }
-        last = answer.error();
-        if (begun)
+        last_error = response.error();
+        if (body_started)
         {
-            return last;
+            return last_error;
         }
     }
-    return last;
+    return last_error;
 }
 
-result<reply> node_client::ask_node(const endpoint& node,
-                                    const net::http_request& request,
-                                    const piece_callback& on_piece)
+result<node_response>
+node_client::send_to_node(const endpoint& node,
+                          const net::http_request& request,
+                          const piece_callback& on_piece)
 {
-    net::http_request timed = request;
-    timed.head_timeout = this->answer_timeout;
-    timed.idle_timeout = this->answer_timeout;
-    reply answer;
+    net::http_request timed_request = request;
+    timed_request.head_timeout = this->response_timeout;
+    timed_request.idle_timeout = this->response_timeout;
+    node_response response;
     std::optional<error> failure;
     bool ended = false;
     net::http_client::callbacks hooks;
-    hooks.on_head = [&answer](const net::http_response& head)
+    hooks.on_head = [&response](const net::http_response& head)
     {
-        answer.status = head.status;
+        response.status = head.status;
     };
-    hooks.on_piece = [&answer, &on_piece](std::string_view piece)
+    hooks.on_piece = [&response, &on_piece](std::string_view piece)
     {
-        if (on_piece && answer.ok())
+        if (on_piece && response.ok())
         {
             on_piece(piece);
             return;
         }
-        answer.body += piece;
+        response.body += piece;
     };
     hooks.on_end = [&](result<net::http_response> outcome)
     {
@@ -122,9 +128,9 @@
             failure = outcome.error();
             return;
         }
-        answer.status = outcome.value().status;
+        response.status = outcome.value().status;
     };
-    const auto call = this->client.send(node, timed, hooks);
+    const auto call = this->client.send(node, timed_request, hooks);
     constexpr duration step = std::chrono::milliseconds(100);
     while (!ended)
     {
@@ -134,7 +140,7 @@
     {
         return *failure;
     }
-    return answer;
+    return response;
 }
 
 } // namespace parsleytrack::cli
--- a/src/cli/node_client.hpp
+++ b/src/cli/node_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cli/reply.hpp"
+#include "cli/node_response.hpp"
 #include "net/event_loop.hpp"
 #include "net/http_client.hpp"
 #include "units/endpoint.hpp"
@@ -27,35 +27,35 @@
     /// \returns The answer, or error_code::peer_unreachable when no node could
     /// be reached. A request whose connection was lost is sent to the next
     /// node only when it is a GET or carries an idempotency key.
-    result<reply> ask(const net::http_request& request);
+    result<node_response> send_request(const net::http_request& request);
 
     /// Asks a node at the port of the first address.
     ///
     /// \param host The node's IP address.
     /// \returns The answer, or why there is none.
-    result<reply> ask_host(const std::string& host,
-                           const net::http_request& request);
+    result<node_response> send_to_host(const std::string& host,
+                                       const net::http_request& request);
 
     /// Sends a GET and passes on the pieces of a successful answer.
     ///
     /// \param target Path and query.
     /// \param on_piece Gets each piece.
     /// \returns As ask(); the body is empty on success.
-    result<reply>
+    result<node_response>
     download(const std::string& target,
              const std::function<void(std::string_view)>& on_piece);
 
 private:
     using piece_callback = std::function<void(std::string_view)>;
 
-    result<reply> ask_node(const endpoint& node,
-                           const net::http_request& request,
-                           const piece_callback& on_piece);
+    result<node_response> send_to_node(const endpoint& node,
+                                       const net::http_request& request,
+                                       const piece_callback& on_piece);
 
     net::event_loop loop;
     net::http_client client{this->loop};
     std::vector<endpoint> addresses;
-    duration answer_timeout;
+    duration response_timeout;
 };
 
 } // namespace parsleytrack::cli
--- a/src/cli/reply.hpp
+++ b/src/cli/node_response.hpp
@@ -6,7 +6,7 @@
 {
 
 /// What a node has answered.
-struct reply
+struct node_response
 {
     int status = 0;
     std::string body;
--- a/src/cli/output.cpp
+++ b/src/cli/output.cpp
@@ -18,7 +18,7 @@
 
 using json = nlohmann::json;
 
-void explain_detail(const json& detail)
+void print_error_detail(const json& detail)
 {
     std::cerr << "refused: " << detail.value("message", "no reason was given")
               << " (" << detail.value("reason", "unknown") << ")\n";
@@ -43,11 +43,11 @@
 
 } // namespace
 
-exit_code explain(const result<reply>& answer)
+exit_code print_failure(const result<node_response>& response)
 {
-    if (answer.has_error())
+    if (response.has_error())
     {
-        const error& reason = answer.error();
+        const error& reason = response.error();
         std::cerr << "unreachable: " << reason.message << ".\n"
                   << "Check --nodes and that the daemon runs there.\n";
         if (reason.ran == ran_state::unknown)
@@ -57,31 +57,31 @@
         }
         return exit_code::unreachable;
     }
-    const json body = json::parse(answer.value().body, nullptr, false);
+    const json body = json::parse(response.value().body, nullptr, false);
     if (body.is_object() && body.contains("error") && body["error"].is_object())
     {
-        explain_detail(body["error"]);
+        print_error_detail(body["error"]);
         return exit_code::refused;
     }
-    std::cerr << "refused with HTTP status " << answer.value().status << ": "
-              << answer.value().body << '\n';
+    std::cerr << "refused with HTTP status " << response.value().status << ": "
+              << response.value().body << '\n';
     return exit_code::refused;
 }
 
-exit_code show(const result<reply>& answer,
-               const std::function<void(const json&)>& print)
+exit_code print_response(const result<node_response>& response,
+                         const std::function<void(const json&)>& print)
 {
-    const bool succeeded = answer.has_value() && answer.value().ok();
-    if (FLAGS_json && answer.has_value())
+    const bool succeeded = response.has_value() && response.value().ok();
+    if (FLAGS_json && response.has_value())
     {
-        std::cout << answer.value().body << '\n';
+        std::cout << response.value().body << '\n';
         return succeeded ? exit_code::done : exit_code::refused;
     }
     if (!succeeded)
     {
-        return explain(answer);
+        return print_failure(response);
     }
-    const json body = json::parse(answer.value().body, nullptr, false);
+    const json body = json::parse(response.value().body, nullptr, false);
     if (body.is_discarded())
     {
         std::cerr << "the node's answer is not JSON\n";
--- a/src/cli/output.hpp
+++ b/src/cli/output.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "cli/exit_code.hpp"
-#include "cli/reply.hpp"
+#include "cli/node_response.hpp"
 #include "units/result.hpp"
 
 #include <nlohmann/json_fwd.hpp>
@@ -19,12 +19,13 @@
 /// \param print Prints the parsed body of a successful answer.
 /// \returns How the command ends; refusals and failures were explained on the
 /// standard error stream.
-exit_code show(const result<reply>& answer,
+exit_code
+print_response(const result<node_response>& response,
                const std::function<void(const nlohmann::json&)>& print);
 
 /// Explains an answer that is no success on the standard error stream, and
 /// what to do next.
-exit_code explain(const result<reply>& answer);
+exit_code print_failure(const result<node_response>& response);
 
 /// \param path A file.
 /// \returns Its contents; empty and a message on the standard error stream
--- a/src/cli/relay_commands.cpp
+++ b/src/cli/relay_commands.cpp
@@ -26,9 +26,9 @@
 /// Asks one node, and then all that it knows, which serve their status at the
 /// same port. Nodes that do not answer are listed with what the first one
 /// believes of them.
-result<json> ask_all(node_client& nodes)
+result<json> fetch_all_statuses(node_client& nodes)
 {
-    const auto first = nodes.ask(status_request());
+    const auto first = nodes.send_request(status_request());
     if (first.has_error())
     {
         return first.error();
@@ -51,11 +51,11 @@
             all.push_back(own);
             continue;
         }
-        const auto answer =
-            nodes.ask_host(node.value("host", ""), status_request());
+        const auto response =
+            nodes.send_to_host(node.value("host", ""), status_request());
         const json status =
-            answer.has_value()
-                ? json::parse(answer.value().body, nullptr, false)
+            response.has_value()
+                ? json::parse(response.value().body, nullptr, false)
                 : json();
         if (status.is_object())
         {
@@ -73,13 +73,13 @@
 
 /// Prints the statuses of all nodes: as they are with --json, otherwise by a
 /// function.
-exit_code show_all(node_client& nodes,
-                   const std::function<void(const json&)>& print)
+exit_code print_all_statuses(node_client& nodes,
+                             const std::function<void(const json&)>& print)
 {
-    const auto all = ask_all(nodes);
+    const auto all = fetch_all_statuses(nodes);
     if (all.has_error())
     {
-        return explain(all.error());
+        return print_failure(all.error());
     }
     if (FLAGS_json)
     {
@@ -175,28 +175,29 @@
          "names metrics addresses.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
-             return show_all(nodes, print_nodes);
+             return print_all_statuses(nodes, print_nodes);
          }},
         {{"relay", "replicas"},
          {},
          "Shows the replicas as one relay node knows them.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
-             return show(nodes.ask(status_request()), print_replicas);
+             return print_response(nodes.send_request(status_request()),
+                                   print_replicas);
          }},
         {{"relay", "jobs"},
          {},
          "Shows the batch jobs that relay nodes run, and how far they are.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
-             return show_all(nodes, print_jobs);
+             return print_all_statuses(nodes, print_jobs);
          }},
         {{"relay", "slots"},
          {},
          "Shows the slots of each pool of replicas, and what waits for them.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
-             return show_all(nodes, print_slots);
+             return print_all_statuses(nodes, print_slots);
          }},
     };
 }
--- a/src/cli/release_commands.cpp
+++ b/src/cli/release_commands.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto poll_interval = std::chrono::milliseconds(500);
 
-net::http_request get(const std::string& target)
+net::http_request get_request(const std::string& target)
 {
     net::http_request request;
     request.target = target;
@@ -85,16 +85,18 @@
 
 exit_code show_release(node_client& nodes, const std::vector<std::string>&)
 {
-    return show(nodes.ask(get("/v1/release")), print_release);
+    return print_response(nodes.send_request(get_request("/v1/release")),
+                          print_release);
 }
 
 exit_code show_status(node_client& nodes, const std::vector<std::string>&)
 {
-    return show(nodes.ask(get("/v1/release/status")), print_status);
+    return print_response(nodes.send_request(get_request("/v1/release/status")),
+                          print_status);
 }
 
 /// \returns Whether every node that answers for the fleet has the version.
-bool is_everywhere(const json& status, std::int64_t version)
+bool is_in_force_everywhere(const json& status, std::int64_t version)
 {
     const json nodes = status.value("nodes", json::array());
     for (const json& node : nodes)
@@ -109,17 +111,18 @@
 
 exit_code wait_until_in_force(node_client& nodes, std::int64_t version)
 {
-    const auto limit = std::chrono::steady_clock::now() +
-                       std::chrono::seconds(FLAGS_timeout_s);
-    while (std::chrono::steady_clock::now() < limit)
+    const auto wait_deadline = std::chrono::steady_clock::now() +
+                               std::chrono::seconds(FLAGS_timeout_s);
+    while (std::chrono::steady_clock::now() < wait_deadline)
     {
-        const result<reply> answer = nodes.ask(get("/v1/release/status"));
-        if (answer.has_error() || !answer.value().ok())
+        const result<node_response> response =
+            nodes.send_request(get_request("/v1/release/status"));
+        if (response.has_error() || !response.value().ok())
         {
-            return explain(answer);
+            return print_failure(response);
         }
-        const json status = json::parse(answer.value().body, nullptr, false);
-        if (status.is_object() && is_everywhere(status, version))
+        const json status = json::parse(response.value().body, nullptr, false);
+        if (status.is_object() && is_in_force_everywhere(status, version))
         {
             std::cerr << "in force on all nodes\n";
             return exit_code::done;
@@ -142,12 +145,13 @@
     std::int64_t expected = FLAGS_expected_version;
     if (expected < 0)
     {
-        const result<reply> present = nodes.ask(get("/v1/release"));
-        if (present.has_error() || !present.value().ok())
+        const result<node_response> current =
+            nodes.send_request(get_request("/v1/release"));
+        if (current.has_error() || !current.value().ok())
         {
-            return explain(present);
+            return print_failure(current);
         }
-        const json body = json::parse(present.value().body, nullptr, false);
+        const json body = json::parse(current.value().body, nullptr, false);
         expected =
             body.is_object() ? body.value("version", std::int64_t{0}) : 0;
     }
@@ -158,12 +162,13 @@
     request.body = *note;
     std::int64_t version = 0;
     const exit_code outcome =
-        show(nodes.ask(request),
-             [&version](const json& body)
-             {
-                 version = body.value("version", std::int64_t{0});
-                 std::cout << "accepted as version " << version << '\n';
-             });
+        print_response(nodes.send_request(request),
+                       [&version](const json& body)
+                       {
+                           version = body.value("version", std::int64_t{0});
+                           std::cout << "accepted as version " << version
+                                     << '\n';
+                       });
     if (outcome != exit_code::done || !FLAGS_wait)
     {
         return outcome;
--- a/src/cli/load_prompts.cpp
+++ b/src/cli/request_generator.cpp
@@ -1,4 +1,4 @@
-#include "cli/load_prompts.hpp"
+#include "cli/request_generator.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-constexpr std::array<std::string_view, 16> words{
+constexpr std::array<std::string_view, 16> vocabulary{
     "pistachio", "case",    "maple",   "morning", "stilts",  "rings",
     "festival",  "counter", "order",   "school",  "berries", "height",
     "tubs",      "note",    "weekend", "street"};
@@ -31,7 +31,7 @@
 
 } // namespace
 
-load_prompts::load_prompts(const load_options& load)
+request_generator::request_generator(const load_options& load)
     : options(load), random(load.seed + 1)
 {
     const auto weights = workspace_weights(load.workspaces);
@@ -39,7 +39,7 @@
         std::discrete_distribution<int>(weights.begin(), weights.end());
 }
 
-net::http_request load_prompts::online()
+net::http_request request_generator::online_request()
 {
     net::http_request request;
     request.method = "POST";
@@ -52,7 +52,7 @@
     return request;
 }
 
-net::http_request load_prompts::batch_job(int job)
+net::http_request request_generator::batch_job_request(int job)
 {
     net::http_request request;
     request.method = "POST";
@@ -77,7 +77,7 @@
     return request;
 }
 
-std::string load_prompts::chat_body(int tokens, bool streamed)
+std::string request_generator::chat_body(int tokens, bool streamed)
 {
     std::uniform_int_distribution<std::uint64_t> families(
         1, static_cast<std::uint64_t>(this->options.families));
@@ -95,20 +95,21 @@
     return body.dump();
 }
 
-std::string load_prompts::draw_words(std::size_t bytes, random_source& source)
+std::string request_generator::draw_words(std::size_t bytes,
+                                          random_source& source)
 {
-    std::uniform_int_distribution<std::size_t> draw(0, words.size() - 1);
+    std::uniform_int_distribution<std::size_t> draw(0, vocabulary.size() - 1);
     std::string text;
     while (text.size() < bytes)
     {
-        text += words[draw(source)];
+        text += vocabulary[draw(source)];
         text += ' ';
     }
     text.resize(bytes);
     return text;
 }
 
-std::string load_prompts::draw_workspace()
+std::string request_generator::draw_workspace()
 {
     return "shop-" + std::to_string(this->workspaces(this->random) + 1);
 }
--- a/src/cli/load_prompts.hpp
+++ b/src/cli/request_generator.hpp
@@ -12,17 +12,17 @@
 
 /// Writes requests: prompts of families that share a prefix, from workspaces
 /// of unequal size.
-class load_prompts
+class request_generator
 {
 public:
-    explicit load_prompts(const load_options& load);
+    explicit request_generator(const load_options& load);
 
     /// \returns The next online request, streamed.
-    net::http_request online();
+    net::http_request online_request();
 
     /// \param job The job's number.
     /// \returns The request that submits a batch job.
-    net::http_request batch_job(int job);
+    net::http_request batch_job_request(int job);
 
 private:
     std::string chat_body(int tokens, bool streamed);
--- a/src/cli/load_stream.cpp
+++ b/src/cli/token_stream_parser.cpp
@@ -1,11 +1,11 @@
-#include "cli/load_stream.hpp"
+#include "cli/token_stream_parser.hpp"
 
 #include <nlohmann/json.hpp>
 
 namespace parsleytrack::cli
 {
 
-void load_stream::add(std::string_view piece, time_point now)
+void token_stream_parser::add(std::string_view piece, time_point now)
 {
     this->buffer.append(piece);
     std::size_t start = 0;
@@ -13,13 +13,13 @@
          end = this->buffer.find('\n', start))
     {
         const std::string_view line(this->buffer);
-        this->read_line(line.substr(start, end - start), now);
+        this->parse_line(line.substr(start, end - start), now);
         start = end + 1;
     }
     this->buffer.erase(0, start);
 }
 
-void load_stream::read_line(std::string_view line, time_point now)
+void token_stream_parser::parse_line(std::string_view line, time_point now)
 {
     constexpr std::string_view prefix = "data: ";
     if (line.substr(0, prefix.size()) != prefix)
@@ -29,7 +29,7 @@
     const std::string_view data = line.substr(prefix.size());
     if (data.substr(0, 6) == "[DONE]")
     {
-        this->done = true;
+        this->complete = true;
         return;
     }
     const auto event = nlohmann::json::parse(data, nullptr, false);
@@ -43,18 +43,18 @@
                                  : choice.value("text", "");
     if (!text.empty())
     {
-        this->times.push_back(now);
+        this->arrival_times.push_back(now);
     }
 }
 
 std::string refusal_reason(const std::string& body, int status)
 {
-    const auto answer = nlohmann::json::parse(body, nullptr, false);
-    if (answer.is_object() && answer.contains("error") &&
-        answer["error"].is_object())
+    const auto response = nlohmann::json::parse(body, nullptr, false);
+    if (response.is_object() && response.contains("error") &&
+        response["error"].is_object())
     {
-        return answer["error"].value("reason",
-                                     "status " + std::to_string(status));
+        return response["error"].value("reason",
+                                       "status " + std::to_string(status));
     }
     return "status " + std::to_string(status);
 }
--- a/src/cli/load_stream.hpp
+++ b/src/cli/token_stream_parser.hpp
@@ -13,27 +13,30 @@
 {
 
 /// Reads one streamed answer and measures it.
-class load_stream
+class token_stream_parser
 {
 public:
     /// Takes a piece of the body.
     void add(std::string_view piece, time_point now);
 
     /// \returns When each token came.
-    const std::vector<time_point>& tokens() const { return this->times; }
+    const std::vector<time_point>& token_times() const
+    {
+        return this->arrival_times;
+    }
 
     /// \returns Whether the answer's last event has come.
-    bool is_complete() const { return this->done; }
+    bool is_complete() const { return this->complete; }
 
     /// \returns The pieces that were no events: the body of a refusal.
-    const std::string& rest() const { return this->buffer; }
+    const std::string& non_event_body() const { return this->buffer; }
 
 private:
-    void read_line(std::string_view line, time_point now);
+    void parse_line(std::string_view line, time_point now);
 
     std::string buffer;
-    std::vector<time_point> times;
-    bool done = false;
+    std::vector<time_point> arrival_times;
+    bool complete = false;
 };
 
 /// \param body Body of a refusal.
--- a/tests/load/load_test.cpp
+++ b/tests/load/load_test.cpp
@@ -1,8 +1,8 @@
-#include "cli/load_arrivals.hpp"
-#include "cli/load_latency.hpp"
-#include "cli/load_prompts.hpp"
-#include "cli/load_stream.hpp"
+#include "cli/arrival_process.hpp"
+#include "cli/latency_histogram.hpp"
 #include "cli/node_list.hpp"
+#include "cli/request_generator.hpp"
+#include "cli/token_stream_parser.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,7 +29,7 @@
 
 TEST(load, arrivals_have_the_rate_and_the_bursts_asked_for)
 {
-    load_arrivals arrivals(some_load());
+    arrival_process arrivals(some_load());
     int in_bursts = 0;
     int outside = 0;
     for (duration time = arrivals.next(); time < std::chrono::seconds(1000);
@@ -47,20 +47,21 @@
 
 TEST(load, the_same_seed_gives_the_same_run)
 {
-    load_arrivals first(some_load());
-    load_arrivals second(some_load());
-    load_prompts first_prompts(some_load());
-    load_prompts second_prompts(some_load());
+    arrival_process first(some_load());
+    arrival_process second(some_load());
+    request_generator first_prompts(some_load());
+    request_generator second_prompts(some_load());
     for (int step = 0; step < 100; ++step)
     {
         CHECK(first.next() == second.next());
-        CHECK(first_prompts.online().body == second_prompts.online().body);
+        CHECK(first_prompts.online_request().body ==
+              second_prompts.online_request().body);
     }
 }
 
 TEST(load, percentiles_are_within_three_percent)
 {
-    load_latency values;
+    latency_histogram values;
     for (int number = 1; number <= 1000; ++number)
     {
         values.record(std::chrono::milliseconds(number));
@@ -68,12 +69,12 @@
     DOUBLES_EQUAL(500, values.percentile_ms(0.5), 15);
     DOUBLES_EQUAL(950, values.percentile_ms(0.95), 29);
     DOUBLES_EQUAL(1000, values.percentile_ms(1), 0.001);
-    DOUBLES_EQUAL(0, load_latency().percentile_ms(0.5), 0);
+    DOUBLES_EQUAL(0, latency_histogram().percentile_ms(0.5), 0);
 }
 
 TEST(load, a_stream_is_read_across_pieces)
 {
-    load_stream stream;
+    token_stream_parser stream;
     const time_point start;
     const std::string events =
         R"(data: {"choices":[{"delta":{"content":"w1 "}}]})"
@@ -85,7 +86,7 @@
         stream.add(std::string_view(&byte, 1), start);
     }
     CHECK(stream.is_complete());
-    LONGS_EQUAL(1, stream.tokens().size());
+    LONGS_EQUAL(1, stream.token_times().size());
 }
 
 TEST(load, a_list_of_nodes_names_at_least_one)
