--- a/tests/bench_relay/main.cpp
+++ b/tests/bench_relay/main.cpp
@@ -64,23 +64,23 @@
     int served = 0;
     for (int round = 0; round < rounds; ++round)
     {
-        std::vector<std::shared_ptr<relay_fleet::answer>> answers;
+        std::vector<std::shared_ptr<relay_fleet::response>> responses;
         for (int count = 0; count < at_once; ++count)
         {
-            answers.push_back(std::make_shared<relay_fleet::answer>());
-            driver.begin(0, "POST", path, "m" + std::to_string(next_id++),
-                         "body", answers.back());
+            responses.push_back(std::make_shared<relay_fleet::response>());
+            driver.start_call(0, "POST", path, "m" + std::to_string(next_id++),
+                              "body", responses.back());
         }
-        for (const auto& answer : answers)
+        for (const auto& response : responses)
         {
-            while (answer->status < 0)
+            while (response->status < 0)
             {
                 for (relay_fleet* fleet : measured)
                 {
                     fleet->loop.run_for(std::chrono::milliseconds(0));
                 }
             }
-            served += answer->status == 200 ? 1 : 0;
+            served += response->status == 200 ? 1 : 0;
         }
     }
     if (served != rounds * at_once)
--- a/tests/relay_process/feed_test.cpp
+++ b/tests/relay_process/feed_test.cpp
@@ -15,12 +15,12 @@
 constexpr int node_count = 5;
 /// So that two of the nodes follow the store and three follow these.
 constexpr int max_direct_followers = 2;
-constexpr std::size_t sources = 2;
-const std::string replicas = "servers/";
+constexpr std::size_t source_count = 2;
+const std::string replica_prefix = "servers/";
 
 /// Changes the list of replicas, at which calls of nodes that no longer follow
 /// the store end.
-void touch(relay_fleet& fleet, int number)
+void change_replica_list(relay_fleet& fleet, int number)
 {
     fleet.store.put("servers/i-broken", std::to_string(number));
 }
@@ -28,31 +28,31 @@
 /// Waits until only the sources follow the store.
 ///
 /// \returns The sources.
-std::set<int> settle(relay_fleet& fleet)
+std::set<int> wait_for_sources(relay_fleet& fleet)
 {
     int number = 0;
-    std::set<int> found;
+    std::set<int> sources;
     CHECK(fleet.wait(
         [&]
         {
-            touch(fleet, ++number);
+            change_replica_list(fleet, ++number);
             fleet.run_for(std::chrono::milliseconds(700));
-            const auto watchers = fleet.store.watchers(replicas);
-            found.clear();
+            const auto watchers = fleet.store.watchers(replica_prefix);
+            sources.clear();
             for (int node = 0; node < node_count; ++node)
             {
                 if (watchers.contains(fleet.store_address(node)))
                 {
-                    found.insert(node);
+                    sources.insert(node);
                 }
             }
-            return found.size() == sources;
+            return sources.size() == source_count;
         }));
-    return found;
+    return sources;
 }
 
 /// \returns Whether a node sends requests to a replica.
-bool uses(relay_fleet& fleet, int node, const replica_stand_in& replica)
+bool uses_replica(relay_fleet& fleet, int node, const replica_stand_in& replica)
 {
     static int number = 0;
     for (int count = 0; count < 6; ++count)
@@ -71,86 +71,88 @@
 
 TEST_GROUP(relay_feeds){};
 
-TEST(relay_feeds, few_nodes_follow_the_store_and_all_learn_of_changes)
+TEST(relay_feeds, few_nodes_watch_the_store_and_all_receive_changes)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = node_count,
                             .max_direct_followers = max_direct_followers});
-    settle(fleet);
+    wait_for_sources(fleet);
     // A leaving replica gets nothing new two seconds after its word.
-    fleet.store.put("servers/i-0", fleet.engines[0]->entry("llm", "draining"));
+    fleet.store.put("servers/i-0", fleet.engines[0]->record("llm", "draining"));
     fleet.run_for(std::chrono::seconds(2));
     for (int node = 0; node < node_count; ++node)
     {
-        CHECK_FALSE(uses(fleet, node, *fleet.engines[0]));
+        CHECK_FALSE(uses_replica(fleet, node, *fleet.engines[0]));
     }
-    CHECK_EQUAL(sources, fleet.store.watchers(replicas).size());
+    CHECK_EQUAL(source_count, fleet.store.watchers(replica_prefix).size());
 }
 
-TEST(relay_feeds, nodes_that_the_store_turns_away_learn_of_changes)
+TEST(relay_feeds, nodes_that_the_store_refuses_receive_changes)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = node_count,
                             .max_direct_followers = max_direct_followers});
-    const std::set<int> found = settle(fleet);
+    const std::set<int> sources = wait_for_sources(fleet);
     for (int node = 0; node < node_count; ++node)
     {
-        fleet.store.turn_away(fleet.store_address(node), !found.contains(node));
+        fleet.store.set_refusing(fleet.store_address(node),
+                                 !sources.contains(node));
     }
     fleet.store.erase("servers/i-1");
     fleet.run_for(std::chrono::seconds(2));
     for (int node = 0; node < node_count; ++node)
     {
-        CHECK_FALSE(uses(fleet, node, *fleet.engines[1]));
+        CHECK_FALSE(uses_replica(fleet, node, *fleet.engines[1]));
     }
 }
 
-TEST(relay_feeds, sources_that_fall_silent_are_replaced)
+TEST(relay_feeds, unresponsive_sources_are_replaced)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = node_count,
                             .max_direct_followers = max_direct_followers});
-    const std::set<int> found = settle(fleet);
-    for (const int node : found)
+    const std::set<int> sources = wait_for_sources(fleet);
+    for (const int node : sources)
     {
         fleet.process(node).signal(SIGSTOP);
     }
-    fleet.store.put("servers/i-0", fleet.engines[0]->entry("llm", "draining"));
+    fleet.store.put("servers/i-0", fleet.engines[0]->record("llm", "draining"));
     // The silence that is allowed, and the time for changes.
     fleet.run_for(std::chrono::milliseconds(3000));
     for (int node = 0; node < node_count; ++node)
     {
-        CHECK(found.contains(node) || !uses(fleet, node, *fleet.engines[0]));
+        CHECK(sources.contains(node) ||
+              !uses_replica(fleet, node, *fleet.engines[0]));
     }
-    for (const int node : found)
+    for (const int node : sources)
     {
         fleet.process(node).signal(SIGCONT);
     }
 }
 
-TEST(relay_feeds, an_outage_is_asked_about_sparingly)
+TEST(relay_feeds, the_rate_of_calls_is_limited_during_an_outage)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = node_count,
                             .max_direct_followers = max_direct_followers});
-    settle(fleet);
+    wait_for_sources(fleet);
     for (int node = 0; node < node_count; ++node)
     {
-        fleet.store.turn_away(fleet.store_address(node), true);
+        fleet.store.set_refusing(fleet.store_address(node), true);
     }
-    touch(fleet, 1000);
+    change_replica_list(fleet, 1000);
     fleet.run_for(std::chrono::seconds(2));
     const int before = fleet.store.refused_calls();
     constexpr int seconds = 5;
     fleet.run_for(std::chrono::seconds(seconds));
     // A node has two lists to follow, each of which it may ask for once a
     // second, and looks for jobs without an owner every two seconds.
-    constexpr double most_per_second = 2.5;
+    constexpr double max_calls_per_second = 2.5;
     CHECK(fleet.store.refused_calls() - before <=
-          node_count * seconds * most_per_second);
+          node_count * seconds * max_calls_per_second);
     for (int node = 0; node < node_count; ++node)
     {
-        fleet.store.turn_away(fleet.store_address(node), false);
+        fleet.store.set_refusing(fleet.store_address(node), false);
     }
     fleet.store.erase("servers/i-2");
     CHECK(fleet.wait(
@@ -158,7 +160,7 @@
         {
             for (int node = 0; node < node_count; ++node)
             {
-                if (uses(fleet, node, *fleet.engines[2]))
+                if (uses_replica(fleet, node, *fleet.engines[2]))
                 {
                     return false;
                 }
--- a/tests/relay_process/progress_test.cpp
+++ b/tests/relay_process/progress_test.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr int items = 2;
+constexpr int item_count = 2;
 
 /// So that an item runs for longer than it takes to write its progress.
 constexpr duration event_interval = std::chrono::milliseconds(500);
-constexpr duration part_of_a_run = std::chrono::milliseconds(4000);
+constexpr duration partial_run_time = std::chrono::milliseconds(4000);
 
 void start_items(relay_fleet& fleet)
 {
@@ -23,8 +23,8 @@
     {
         engine->event_interval = event_interval;
     }
-    CHECK_EQUAL(202, fleet.submit(0, "job", items).status);
-    fleet.run_for(part_of_a_run);
+    CHECK_EQUAL(202, fleet.submit(0, "job", item_count).status);
+    fleet.run_for(partial_run_time);
 }
 
 /// Checks that the items ended whole, and were gone on with.
@@ -35,10 +35,10 @@
         engine->event_interval = std::chrono::milliseconds(5);
     }
     const nlohmann::json results = fleet.results(node, "job");
-    CHECK_EQUAL(items, results.size());
+    CHECK_EQUAL(item_count, results.size());
     for (const auto& entry : results)
     {
-        STRCMP_EQUAL(whole_output().c_str(),
+        STRCMP_EQUAL(expected_output().c_str(),
                      entry["output"].get<std::string>().c_str());
     }
     int resumed = 0;
@@ -52,14 +52,14 @@
             }
         }
     }
-    CHECK(resumed >= items);
+    CHECK(resumed >= item_count);
 }
 
 } // namespace
 
 TEST_GROUP(relay_progress){};
 
-TEST(relay_progress, items_go_on_after_a_kill_of_all_nodes)
+TEST(relay_progress, items_resume_after_all_nodes_were_killed)
 {
     relay_fleet fleet(2);
     start_items(fleet);
@@ -72,7 +72,7 @@
     check_resumed(fleet, 0);
 }
 
-TEST(relay_progress, items_go_on_at_another_node_after_a_planned_stop)
+TEST(relay_progress, items_resume_at_another_node_after_a_planned_stop)
 {
     relay_fleet fleet(2);
     start_items(fleet);
@@ -84,7 +84,7 @@
     check_resumed(fleet, 0);
 }
 
-TEST(relay_progress, nothing_is_left_of_it_once_the_job_has_ended)
+TEST(relay_progress, progress_is_erased_once_the_job_has_ended)
 {
     relay_fleet fleet(1);
     start_items(fleet);
@@ -93,7 +93,7 @@
     {
         engine->event_interval = std::chrono::milliseconds(5);
     }
-    CHECK_EQUAL(items, fleet.results(0, "job").size());
+    CHECK_EQUAL(item_count, fleet.results(0, "job").size());
     CHECK(fleet.wait(
         [&fleet]
         { return fleet.store.values("parsleytrack/jobs/progress/").empty(); }));
--- a/tests/relay_process/protocol_test.cpp
+++ b/tests/relay_process/protocol_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr duration patience = std::chrono::seconds(10);
+constexpr duration read_timeout = std::chrono::seconds(10);
 
 /// A caller's connection on which any bytes can be sent.
 class raw_caller
@@ -43,7 +43,7 @@
     std::string read_to_end() const
     {
         std::string text;
-        const time_point limit = net::event_loop::now() + patience;
+        const time_point limit = net::event_loop::now() + read_timeout;
         while (net::event_loop::now() < limit)
         {
             char buffer[4096];
@@ -74,11 +74,12 @@
 
 TEST_GROUP(relay_replica_protocol){};
 
-TEST(relay_replica_protocol, an_extra_answer_reaches_no_caller)
+TEST(relay_replica_protocol, an_extra_response_reaches_no_caller)
 {
     relay_fleet fleet(1);
-    raw_replica faulty(fleet.loop, "i-extra", raw_replica::fault::extra_answer);
-    fleet.store.put("servers/" + faulty.name(), faulty.entry("web"));
+    raw_replica faulty(fleet.loop, "i-extra",
+                       raw_replica::fault::extra_response);
+    fleet.store.put("servers/" + faulty.name(), faulty.record("web"));
     CHECK(fleet.wait(
         [&fleet, &faulty]
         {
@@ -88,36 +89,36 @@
     for (int count = 0; count < 40; ++count)
     {
         const std::string id = "id" + std::to_string(count);
-        const auto answer = fleet.call(0, "POST", "/plain/a", id, "body");
-        CHECK_EQUAL(200, answer.status);
-        STRCMP_EQUAL(("page of " + id).c_str(), answer.body.c_str());
+        const auto response = fleet.call(0, "POST", "/plain/a", id, "body");
+        CHECK_EQUAL(200, response.status);
+        STRCMP_EQUAL(("page of " + id).c_str(), response.body.c_str());
     }
 }
 
-TEST(relay_replica_protocol, an_event_without_an_end_is_not_waited_for)
+TEST(relay_replica_protocol, an_endless_event_does_not_block_requests)
 {
     relay_fleet fleet(1);
     raw_replica faulty(fleet.loop, "i-endless",
                        raw_replica::fault::endless_event);
-    fleet.store.put("servers/" + faulty.name(), faulty.entry("llm"));
+    fleet.store.put("servers/" + faulty.name(), faulty.record("llm"));
     CHECK_EQUAL(202, fleet.submit(0, "job", 8).status);
-    int asked = 0;
+    int sent = 0;
     CHECK(fleet.wait(
         [&]
         {
-            const auto answer = fleet.call(0, "POST", "/stream/a",
-                                           "id" + std::to_string(asked++));
-            CHECK_EQUAL(200, answer.status);
-            return !faulty.runs.empty() && asked > 10;
+            const auto response = fleet.call(0, "POST", "/stream/a",
+                                             "id" + std::to_string(sent++));
+            CHECK_EQUAL(200, response.status);
+            return !faulty.runs.empty() && sent > 10;
         }));
     CHECK_EQUAL(8, fleet.results(0, "job").size());
 }
 
-TEST(relay_replica_protocol, a_reset_after_sending_is_not_a_refusal)
+TEST(relay_replica_protocol, a_reset_after_sending_is_not_treated_as_a_refusal)
 {
     relay_fleet fleet(1);
     raw_replica faulty(fleet.loop, "i-reset", raw_replica::fault::reset);
-    fleet.store.put("servers/" + faulty.name(), faulty.entry("llm"));
+    fleet.store.put("servers/" + faulty.name(), faulty.record("llm"));
     for (const auto& engine : fleet.engines)
     {
         fleet.store.erase("servers/" + engine->name());
@@ -125,8 +126,8 @@
     CHECK(fleet.wait(
         [&fleet, &faulty]
         {
-            const auto answer = fleet.call(0, "POST", "/once/a", "id1");
-            return !faulty.runs.empty() && answer.status == 502;
+            const auto response = fleet.call(0, "POST", "/once/a", "id1");
+            return !faulty.runs.empty() && response.status == 502;
         }));
     CHECK_EQUAL(1, faulty.runs["id1"]);
 }
@@ -171,8 +172,8 @@
     const time_point begin = net::event_loop::now();
     caller.send("POST /plain/a HTTP/1.1\r\n" + head_fields +
                 "Parsleytrack-Request-Id: id1\r\nContent-Length: 0\r\n\r\n");
-    const std::string answer = caller.read_to_end();
-    STRCMP_CONTAINS("page of id1", answer.c_str());
+    const std::string response = caller.read_to_end();
+    STRCMP_CONTAINS("page of id1", response.c_str());
     // Callers use a connection again for up to four fifths of the limit.
     CHECK(net::event_loop::now() - begin >= relay_fleet::idle_timeout);
 }
--- a/tests/relay_process/recovery_test.cpp
+++ b/tests/relay_process/recovery_test.cpp
@@ -11,9 +11,10 @@
 /// What a caller has read of a job.
 nlohmann::json read_page(relay_fleet& fleet, int node, const std::string& job)
 {
-    const auto answer = fleet.call(node, "GET", "/v1/lots/" + job + "?after=0");
-    return answer.status == 200 ? nlohmann::json::parse(answer.body)
-                                : nlohmann::json::object();
+    const auto response =
+        fleet.call(node, "GET", "/v1/lots/" + job + "?after=0");
+    return response.status == 200 ? nlohmann::json::parse(response.body)
+                                  : nlohmann::json::object();
 }
 
 void restart_all(relay_fleet& fleet, int nodes)
@@ -36,7 +37,7 @@
 
 TEST_GROUP(relay_recovery){};
 
-TEST(relay_recovery, results_that_were_read_keep_their_places)
+TEST(relay_recovery, results_that_were_read_keep_their_positions)
 {
     relay_fleet fleet(3);
     CHECK_EQUAL(202, fleet.submit(0, "job", 40).status);
@@ -56,7 +57,7 @@
     }
 }
 
-TEST(relay_recovery, an_ended_job_stays_ended)
+TEST(relay_recovery, a_cancelled_job_stays_cancelled)
 {
     relay_fleet fleet(2);
     for (auto& engine : fleet.engines)
@@ -81,7 +82,7 @@
     CHECK(fleet.engines[0]->runs.empty());
 }
 
-TEST(relay_recovery, the_newest_configuration_is_in_force_again)
+TEST(relay_recovery, the_newest_configuration_applies_after_a_restart)
 {
     relay_fleet fleet(2);
     fleet.store.put("op/config", relay_fleet::configuration(9, "/moved/"));
@@ -95,7 +96,7 @@
 
 TEST_GROUP(relay_configuration){};
 
-TEST(relay_configuration, an_older_version_is_not_taken)
+TEST(relay_configuration, an_older_version_is_ignored)
 {
     relay_fleet fleet(1);
     fleet.store.put("op/config", relay_fleet::configuration(9, "/moved/"));
@@ -108,7 +109,7 @@
     CHECK_EQUAL(404, fleet.call(0, "POST", "/older/a", "id3").status);
 }
 
-TEST(relay_configuration, a_damaged_version_leaves_the_one_in_force)
+TEST(relay_configuration, an_invalid_version_leaves_the_current_one_active)
 {
     relay_fleet fleet(1);
     fleet.store.put("op/config", R"({"version":10,"routes":7})");
--- a/tests/relay_process/rules_test.cpp
+++ b/tests/relay_process/rules_test.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr int requests = 24;
+constexpr int request_count = 24;
 /// Time that callers of the fleet have.
-constexpr int caller_time_ms = 5000;
+constexpr int caller_deadline_ms = 5000;
 /// How much later than the caller's time a replica may be told to stop.
 constexpr int slack_ms = 500;
 
@@ -21,7 +21,7 @@
 
 TEST_GROUP(relay_rules){};
 
-TEST(relay_rules, a_replica_stops_soon_after_the_caller_has_left)
+TEST(relay_rules, a_replica_stops_soon_after_the_caller_disconnects)
 {
     relay_fleet fleet(1);
     for (const auto& engine : fleet.engines)
@@ -61,34 +61,34 @@
     CHECK_EQUAL(0, streams());
 }
 
-TEST(relay_rules, replicas_get_no_more_time_than_is_left)
+TEST(relay_rules, replicas_get_no_more_than_the_remaining_time)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = 1, .has_proxies = true});
     // The first replica is silent, so that requests to it are sent again
     // after 600 ms.
-    fleet.replica_proxies[0]->set(fault_proxy::fault::silent);
-    int sent_again = 0;
-    for (int count = 0; count < requests; ++count)
+    fleet.replica_proxies[0]->set_fault(fault_proxy::fault::blocked);
+    int retries = 0;
+    for (int count = 0; count < request_count; ++count)
     {
         const std::string id = "id" + std::to_string(count);
         const time_point begin = net::event_loop::now();
         CHECK_EQUAL(200, fleet.call(0, "POST", "/stream/a", id).status);
         for (const auto& engine : fleet.engines)
         {
-            const auto found = engine->told_time.find(id);
-            if (found == engine->told_time.end())
+            const auto found = engine->received_deadlines.find(id);
+            if (found == engine->received_deadlines.end())
             {
                 continue;
             }
-            const auto& [left_ms, arrival] = found->second;
+            const auto& [remaining_ms, arrival] = found->second;
             const auto waited_ms = to_milliseconds(arrival - begin);
-            CHECK(left_ms > 0 && left_ms <= caller_time_ms);
-            CHECK(waited_ms + left_ms <= caller_time_ms + slack_ms);
-            sent_again += waited_ms > slack_ms ? 1 : 0;
+            CHECK(remaining_ms > 0 && remaining_ms <= caller_deadline_ms);
+            CHECK(waited_ms + remaining_ms <= caller_deadline_ms + slack_ms);
+            retries += waited_ms > slack_ms ? 1 : 0;
         }
     }
-    CHECK(sent_again > 0);
+    CHECK(retries > 0);
 }
 
 TEST(relay_rules, a_request_is_run_by_no_more_replicas_than_allowed)
@@ -99,8 +99,8 @@
         engine->behaviour = replica_stand_in::fault::failing;
     }
     // The route allows three attempts; the replicas fail each.
-    const auto answer = fleet.call(0, "POST", "/stream/a", "id1");
-    CHECK(answer.status >= 500);
+    const auto response = fleet.call(0, "POST", "/stream/a", "id1");
+    CHECK(response.status >= 500);
     int runs = 0;
     for (const auto& engine : fleet.engines)
     {
@@ -109,14 +109,14 @@
     CHECK(runs <= 3);
 }
 
-TEST(relay_rules, another_service_at_a_known_address_runs_nothing)
+TEST(relay_rules, another_service_at_a_reused_address_runs_nothing)
 {
     relay_fleet fleet(1);
     // The address of a replica that is gone belongs to another service now.
-    fleet.engines[0]->advertise(fleet.web->listening());
-    fleet.store.put("servers/i-0", fleet.engines[0]->entry("llm"));
+    fleet.engines[0]->advertise(fleet.web->listen_address());
+    fleet.store.put("servers/i-0", fleet.engines[0]->record("llm"));
     fleet.run_for(std::chrono::milliseconds(1500));
-    for (int count = 0; count < requests; ++count)
+    for (int count = 0; count < request_count; ++count)
     {
         const std::string id = "id" + std::to_string(count);
         CHECK_EQUAL(200, fleet.call(0, "POST", "/stream/a", id).status);
--- a/tests/relay_process/status_test.cpp
+++ b/tests/relay_process/status_test.cpp
@@ -11,11 +11,11 @@
 {
 
 /// \returns What a command has printed with --json.
-nlohmann::json run_command(relay_fleet& fleet, const std::string& what)
+nlohmann::json run_command(relay_fleet& fleet, const std::string& subcommand)
 {
     process_support::temporary_folder folder;
     process_support::child_process command(
-        {CLI_PROGRAM, "relay", what, "--json",
+        {CLI_PROGRAM, "relay", subcommand, "--json",
          "--nodes=" + to_string(fleet.metrics_address(0))},
         folder.path("output"));
     CHECK(fleet.wait([&command] { return command.has_ended(); }));
@@ -35,7 +35,7 @@
         engine->behaviour = replica_stand_in::fault::full;
     }
     CHECK_EQUAL(202, fleet.submit(0, "job", 4).status);
-    fleet.store.turn_away(fleet.store_address(1), true);
+    fleet.store.set_refusing(fleet.store_address(1), true);
     fleet.store.put("op/config", relay_fleet::configuration(9, "/moved/"));
     CHECK(fleet.wait(
         [&fleet]
@@ -46,13 +46,13 @@
         {
             all = run_command(fleet, "nodes");
             std::size_t jobs = 0;
-            int turned_away = 0;
+            int refused = 0;
             for (const auto& node : all)
             {
                 jobs += node["jobs"].size();
-                turned_away += node["store"]["reachable"] == false ? 1 : 0;
+                refused += node["store"]["reachable"] == false ? 1 : 0;
             }
-            return all.size() == 3 && jobs == 1 && turned_away == 1;
+            return all.size() == 3 && jobs == 1 && refused == 1;
         }));
     std::size_t pools = 0;
     for (const auto& node : all)
@@ -64,7 +64,7 @@
     CHECK(pools > 0);
 }
 
-TEST(relay_status, a_node_that_does_not_answer_is_listed)
+TEST(relay_status, an_unresponsive_node_is_listed)
 {
     relay_fleet fleet(2);
     fleet.process(1).kill();
@@ -73,7 +73,7 @@
     CHECK(all[0].value("silent", false) || all[1].value("silent", false));
 }
 
-TEST(relay_status, metrics_tell_reasons_latencies_and_slots)
+TEST(relay_status, metrics_show_outcomes_latencies_and_slots)
 {
     relay_fleet fleet(1);
     fleet.engines[0]->behaviour = replica_stand_in::fault::full;
--- a/tests/relay_process/whole_path_test.cpp
+++ b/tests/relay_process/whole_path_test.cpp
@@ -20,7 +20,7 @@
     for (const auto& entry : results)
     {
         STRCMP_EQUAL("completed", entry["state"].get<std::string>().c_str());
-        STRCMP_EQUAL(whole_output().c_str(),
+        STRCMP_EQUAL(expected_output().c_str(),
                      entry["output"].get<std::string>().c_str());
         CHECK(items.insert(entry["id"]).second);
     }
@@ -28,9 +28,9 @@
 
 /// How long after its word a leaving replica may get new requests, as the
 /// platform's smaller deployments have it.
-constexpr duration drain_bound = std::chrono::milliseconds(2000);
+constexpr duration max_drain_delay = std::chrono::milliseconds(2000);
 
-int runs_of(const relay_fleet& fleet, const std::string& request)
+int run_count(const relay_fleet& fleet, const std::string& request)
 {
     int runs = 0;
     for (const auto& engine : fleet.engines)
@@ -55,8 +55,8 @@
         "seal-id1",
         net::find_header(page.headers, "Parsleytrack-Response-Seal")->c_str());
     const auto stream = fleet.call(1, "POST", "/stream/a", "id2", "body");
-    STRCMP_EQUAL(whole_stream().c_str(), stream.body.c_str());
-    CHECK_EQUAL(1, runs_of(fleet, "id2"));
+    STRCMP_EQUAL(expected_stream().c_str(), stream.body.c_str());
+    CHECK_EQUAL(1, run_count(fleet, "id2"));
     CHECK_EQUAL(202, fleet.submit(0, "job1", 7).status);
     CHECK_EQUAL(202, fleet.submit(1, "job1", 7).status);
     check_results(fleet.results(1, "job1"), 7);
@@ -67,7 +67,7 @@
     CHECK_EQUAL(404, fleet.call(1, "GET", "/v1/lots/unknown").status);
 }
 
-TEST(relay_calm, refuses_what_cannot_be_served)
+TEST(relay_calm, refuses_invalid_requests_and_jobs_over_the_limit)
 {
     relay_fleet fleet(1);
     CHECK_EQUAL(404, fleet.call(0, "POST", "/other/", "id1").status);
@@ -94,7 +94,7 @@
     CHECK(fleet.web->runs.empty());
 }
 
-TEST(relay_calm, ends_a_job)
+TEST(relay_calm, cancels_a_job)
 {
     relay_fleet fleet(2);
     for (auto& engine : fleet.engines)
@@ -109,10 +109,10 @@
         engine->behaviour = replica_stand_in::fault::none;
     }
     fleet.run_for(std::chrono::milliseconds(1500));
-    CHECK_EQUAL(0, runs_of(fleet, "job-0"));
+    CHECK_EQUAL(0, run_count(fleet, "job-0"));
 }
 
-TEST(relay_calm, results_are_erased_once_they_need_not_be_kept)
+TEST(relay_calm, results_are_erased_after_the_retention_time)
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = 2, .keep_results_s = 1});
@@ -129,33 +129,33 @@
 
 TEST_GROUP(relay_replica_faults){};
 
-TEST(relay_replica_faults, a_cut_stream_goes_on_at_another_replica)
+TEST(relay_replica_faults, an_interrupted_stream_resumes_at_another_replica)
 {
     relay_fleet fleet(1);
-    fleet.engines[0]->behaviour = replica_stand_in::fault::cut;
+    fleet.engines[0]->behaviour = replica_stand_in::fault::truncating;
     for (int count = 0; count < 8; ++count)
     {
         const auto stream = fleet.call(0, "POST", "/stream/a",
                                        "id" + std::to_string(count), "body");
         CHECK_EQUAL(200, stream.status);
-        STRCMP_EQUAL(whole_stream().c_str(), stream.body.c_str());
+        STRCMP_EQUAL(expected_stream().c_str(), stream.body.c_str());
     }
     CHECK_FALSE(fleet.engines[0]->runs.empty());
 }
 
-TEST(relay_replica_faults, a_stream_that_must_not_run_twice_is_broken_off)
+TEST(relay_replica_faults, a_stream_that_cannot_be_resumed_is_aborted)
 {
     relay_fleet fleet(1);
     for (auto& engine : fleet.engines)
     {
-        engine->behaviour = replica_stand_in::fault::cut;
+        engine->behaviour = replica_stand_in::fault::truncating;
     }
     const auto stream = fleet.call(0, "POST", "/once/a", "id1", "body");
     CHECK_EQUAL(0, stream.status);
-    CHECK_EQUAL(1, runs_of(fleet, "id1"));
+    CHECK_EQUAL(1, run_count(fleet, "id1"));
 }
 
-TEST(relay_replica_faults, a_request_that_was_not_run_goes_elsewhere)
+TEST(relay_replica_faults, a_request_that_was_not_run_is_retried_elsewhere)
 {
     relay_fleet fleet(1);
     fleet.engines[0]->behaviour = replica_stand_in::fault::full;
@@ -164,16 +164,16 @@
     {
         const std::string id = "id" + std::to_string(count);
         CHECK_EQUAL(200, fleet.call(0, "POST", "/once/a", id).status);
-        CHECK_EQUAL(1, runs_of(fleet, id));
+        CHECK_EQUAL(1, run_count(fleet, id));
     }
 }
 
-TEST(relay_replica_faults, a_leaving_replica_gets_nothing_new)
+TEST(relay_replica_faults, a_leaving_replica_gets_no_new_requests)
 {
     relay_fleet fleet(2);
-    fleet.store.put("servers/i-0", fleet.engines[0]->entry("llm", "draining"));
+    fleet.store.put("servers/i-0", fleet.engines[0]->record("llm", "draining"));
     fleet.store.erase("servers/i-1");
-    fleet.run_for(drain_bound);
+    fleet.run_for(max_drain_delay);
     for (int count = 0; count < 10; ++count)
     {
         CHECK_EQUAL(200, fleet
@@ -185,7 +185,7 @@
     CHECK(fleet.engines[1]->runs.empty());
 }
 
-TEST(relay_replica_faults, items_that_always_fail_are_given_up)
+TEST(relay_replica_faults, items_that_always_fail_become_dead_letters)
 {
     relay_fleet fleet(1);
     for (auto& engine : fleet.engines)
@@ -196,76 +196,76 @@
     const auto results = fleet.results(0, "job");
     CHECK_EQUAL(2, results.size());
     STRCMP_EQUAL("dead_letter", results[0]["state"].get<std::string>().c_str());
-    CHECK_EQUAL(2, runs_of(fleet, "job-0"));
+    CHECK_EQUAL(2, run_count(fleet, "job-0"));
 }
 
 TEST_GROUP(relay_store_faults){};
 
-TEST(relay_store_faults, a_lost_answer_does_not_accept_a_job_twice)
+TEST(relay_store_faults, a_lost_response_does_not_accept_a_job_twice)
 {
     relay_fleet fleet(2);
-    fleet.store.lost_answers = 1;
+    fleet.store.lost_responses = 1;
     CHECK_EQUAL(202, fleet.submit(0, "job", 5).status);
-    fleet.store.lost_answers = 1;
+    fleet.store.lost_responses = 1;
     check_results(fleet.results(1, "job"), 5);
     CHECK_EQUAL(1, fleet.store.values("parsleytrack/jobs/state/").size());
     CHECK_EQUAL(5, fleet.store.values("parsleytrack/jobs/output/").size());
 }
 
-TEST(relay_store_faults, online_requests_outlast_an_outage)
+TEST(relay_store_faults, online_requests_are_served_during_an_outage)
 {
     relay_fleet fleet(2);
-    fleet.store.turn_away(fleet.store_address(0), true);
-    fleet.store.turn_away(fleet.store_address(1), true);
+    fleet.store.set_refusing(fleet.store_address(0), true);
+    fleet.store.set_refusing(fleet.store_address(1), true);
     const time_point until = net::event_loop::now() + std::chrono::seconds(2);
     int served = 0;
-    int asked = 0;
+    int sent = 0;
     while (net::event_loop::now() < until)
     {
-        ++asked;
-        served += fleet.call(asked % 2, "POST", "/stream/a",
-                             "id" + std::to_string(asked))
+        ++sent;
+        served += fleet.call(sent % 2, "POST", "/stream/a",
+                             "id" + std::to_string(sent))
                               .status == 200
                       ? 1
                       : 0;
     }
-    CHECK_EQUAL(asked, served);
+    CHECK_EQUAL(sent, served);
     // A refusal says that the job does not run.
     const int status = fleet.submit(0, "job", 3).status;
     CHECK(status == 503 || status == 504);
-    fleet.store.turn_away(fleet.store_address(0), false);
-    fleet.store.turn_away(fleet.store_address(1), false);
+    fleet.store.set_refusing(fleet.store_address(0), false);
+    fleet.store.set_refusing(fleet.store_address(1), false);
     CHECK(fleet.wait([&fleet]
                      { return fleet.submit(1, "job", 3).status == 202; }));
     check_results(fleet.results(0, "job"), 3);
 }
 
-TEST(relay_store_faults, a_node_that_is_turned_away_still_serves)
+TEST(relay_store_faults, a_node_that_the_store_refuses_still_serves)
 {
     relay_fleet fleet(2);
     CHECK_EQUAL(202, fleet.submit(1, "job", 4).status);
-    fleet.store.turn_away(fleet.store_address(0), true);
+    fleet.store.set_refusing(fleet.store_address(0), true);
     CHECK_EQUAL(200, fleet.call(0, "POST", "/stream/a", "id1").status);
     CHECK_EQUAL(200, fleet.call(0, "POST", "/plain/a", "id2").status);
-    fleet.store.turn_away(fleet.store_address(0), false);
+    fleet.store.set_refusing(fleet.store_address(0), false);
     check_results(fleet.results(1, "job"), 4);
 }
 
 TEST_GROUP(relay_planned_stop){};
 
-TEST(relay_planned_stop, no_request_is_cut)
+TEST(relay_planned_stop, no_request_is_interrupted)
 {
     relay_fleet fleet(2);
-    std::vector<std::shared_ptr<relay_fleet::answer>> answers;
-    const auto ask = [&fleet, &answers]
+    std::vector<std::shared_ptr<relay_fleet::response>> responses;
+    const auto send_request = [&fleet, &responses]
     {
-        const auto into = std::make_shared<relay_fleet::answer>();
-        fleet.begin(0, "POST", "/stream/a",
-                    "id" + std::to_string(answers.size()), "", into);
-        answers.push_back(into);
+        const auto into = std::make_shared<relay_fleet::response>();
+        fleet.start_call(0, "POST", "/stream/a",
+                         "id" + std::to_string(responses.size()), "", into);
+        responses.push_back(into);
     };
     CHECK_EQUAL(202, fleet.submit(0, "job", 6).status);
-    ask();
+    send_request();
     fleet.process(0).signal(SIGTERM);
     // Callers keep the address for three times its validity of 0.5 s.
     const time_point until =
@@ -275,24 +275,24 @@
     {
         if (net::event_loop::now() >= next)
         {
-            ask();
+            send_request();
             next += std::chrono::milliseconds(40);
         }
         fleet.loop.run_for(std::chrono::milliseconds(10));
     }
     CHECK(fleet.wait([&fleet] { return fleet.process(0).has_ended(); }));
     CHECK_EQUAL(0, fleet.process(0).exit_code());
-    for (const auto& answer : answers)
+    for (const auto& response : responses)
     {
-        CHECK_EQUAL(200, answer->status);
-        STRCMP_EQUAL(whole_stream().c_str(), answer->body.c_str());
+        CHECK_EQUAL(200, response->status);
+        STRCMP_EQUAL(expected_stream().c_str(), response->body.c_str());
     }
     check_results(fleet.results(1, "job"), 6);
 }
 
 TEST_GROUP(relay_owner_killed){};
 
-TEST(relay_owner_killed, another_node_goes_on_with_its_jobs)
+TEST(relay_owner_killed, another_node_takes_over_its_jobs)
 {
     relay_fleet fleet(3);
     for (auto& engine : fleet.engines)
@@ -315,7 +315,7 @@
     }
 }
 
-TEST(relay_owner_killed, all_nodes_start_anew_and_lose_nothing)
+TEST(relay_owner_killed, no_job_is_lost_when_all_nodes_restart)
 {
     relay_fleet fleet(2);
     for (auto& engine : fleet.engines)
--- a/tests/relay_support/expected_output.hpp
+++ b/tests/relay_support/expected_output.hpp
@@ -8,7 +8,7 @@
 {
 
 /// \returns A whole stream as callers get it.
-inline std::string whole_stream()
+inline std::string expected_stream()
 {
     std::string text;
     for (int number = 1; number <= replica_stand_in::stream_events; ++number)
@@ -20,7 +20,7 @@
 }
 
 /// \returns The whole output of an item.
-inline std::string whole_output()
+inline std::string expected_output()
 {
     std::string text;
     for (int number = 1; number <= replica_stand_in::stream_events; ++number)
--- a/tests/relay_support/fault_proxy.cpp
+++ b/tests/relay_support/fault_proxy.cpp
@@ -68,9 +68,9 @@
     }
 }
 
-void fault_proxy::set(fault next)
+void fault_proxy::set_fault(fault next)
 {
-    this->current = next;
+    this->current_fault = next;
     if (next == fault::reset)
     {
         for (const auto& connection : std::exchange(this->connections, {}))
@@ -88,7 +88,7 @@
                                               BEV_OPT_CLOSE_ON_FREE);
     made.server.link =
         bufferevent_socket_new(this->loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
-    if (this->current == fault::reset)
+    if (this->current_fault == fault::reset)
     {
         this->reset(made);
         return;
@@ -112,10 +112,10 @@
     evbuffer* input = bufferevent_get_input(from.link);
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
-    const bool later = this->current == fault::delayed;
-    from.held.emplace_back(net::event_loop::now() +
-                               (later ? delay : duration::zero()),
-                           std::move(bytes));
+    const bool is_delayed = this->current_fault == fault::delayed;
+    from.pending.emplace_back(net::event_loop::now() +
+                                  (is_delayed ? delay : duration::zero()),
+                              std::move(bytes));
     this->flush(from);
 }
 
@@ -124,11 +124,12 @@
     from.ended = true;
 }
 
-bool fault_proxy::holds(const side& from) const
+bool fault_proxy::is_blocked(const side& from) const
 {
-    return this->current == fault::silent ||
-           (this->current == fault::cut_to_server && from.to_server) ||
-           (this->current == fault::cut_to_client && !from.to_server);
+    return this->current_fault == fault::blocked ||
+           (this->current_fault == fault::blocked_to_server &&
+            from.to_server) ||
+           (this->current_fault == fault::blocked_to_client && !from.to_server);
 }
 
 void fault_proxy::flush()
@@ -141,7 +142,8 @@
         this->flush(connection.server);
         const auto is_over = [this](const side& from)
         {
-            return from.ended && from.held.empty() && !this->holds(from) &&
+            return from.ended && from.pending.empty() &&
+                   !this->is_blocked(from) &&
                    evbuffer_get_length(
                        bufferevent_get_output(from.other->link)) == 0;
         };
@@ -159,12 +161,12 @@
 void fault_proxy::flush(side& from)
 {
     const time_point now = net::event_loop::now();
-    while (!this->holds(from) && !from.held.empty() &&
-           from.held.front().first <= now)
+    while (!this->is_blocked(from) && !from.pending.empty() &&
+           from.pending.front().first <= now)
     {
-        const std::string& bytes = from.held.front().second;
+        const std::string& bytes = from.pending.front().second;
         bufferevent_write(from.other->link, bytes.data(), bytes.size());
-        from.held.pop_front();
+        from.pending.pop_front();
     }
 }
 
--- a/tests/relay_support/fault_proxy.hpp
+++ b/tests/relay_support/fault_proxy.hpp
@@ -26,10 +26,10 @@
         /// Connections are reset, new ones as well.
         reset,
         /// Nothing arrives in either direction until the fault ends.
-        silent,
+        blocked,
         /// Nothing arrives in one direction.
-        cut_to_server,
-        cut_to_client
+        blocked_to_server,
+        blocked_to_client
     };
 
     /// \param event_loop Outlives this object.
@@ -41,7 +41,7 @@
 
     const endpoint& address() const { return this->listener.address(); }
 
-    void set(fault next);
+    void set_fault(fault next);
 
     /// Called by the library's callbacks only.
 
@@ -54,7 +54,7 @@
         bool to_server = false;
         bool ended = false;
         /// Bytes that were read here and go to the other side.
-        std::deque<std::pair<time_point, std::string>> held;
+        std::deque<std::pair<time_point, std::string>> pending;
     };
     void read(side& from);
     void end(side& from);
@@ -67,7 +67,7 @@
         side server;
     };
 
-    bool holds(const side& from) const;
+    bool is_blocked(const side& from) const;
     void flush();
     void flush(side& from);
     void reset(pair& connection);
@@ -76,7 +76,7 @@
     endpoint target;
     loopback_listener listener;
     std::list<std::unique_ptr<pair>> connections;
-    fault current = fault::none;
+    fault current_fault = fault::none;
     net::timer flush_timer;
 };
 
--- a/tests/relay_support/loopback_listener.cpp
+++ b/tests/relay_support/loopback_listener.cpp
@@ -30,7 +30,7 @@
         { static_cast<loopback_listener*>(argument)->on_accept(descriptor); },
         this, LEV_OPT_CLOSE_ON_FREE, -1, reinterpret_cast<sockaddr*>(&local),
         sizeof(local)));
-    this->own.port =
+    this->bound_address.port =
         net::bound_port(evconnlistener_get_fd(this->listener.get()));
 }
 
--- a/tests/relay_support/loopback_listener.hpp
+++ b/tests/relay_support/loopback_listener.hpp
@@ -27,12 +27,12 @@
     /// \param callback Gets the socket of each connection, and owns it.
     loopback_listener(net::event_loop& loop, std::function<void(int)> callback);
 
-    const endpoint& address() const { return this->own; }
+    const endpoint& address() const { return this->bound_address; }
 
 private:
     std::function<void(int)> on_accept;
     std::unique_ptr<evconnlistener, detail::listener_deleter> listener;
-    endpoint own{"127.0.0.1", 0};
+    endpoint bound_address{"127.0.0.1", 0};
 };
 
 } // namespace parsleytrack::relay_support
--- a/tests/relay_support/raw_replica.cpp
+++ b/tests/relay_support/raw_replica.cpp
@@ -16,19 +16,20 @@
 namespace
 {
 
-constexpr std::size_t piece_bytes = 64 * 1024;
+constexpr std::size_t chunk_bytes = 64 * 1024;
 
-std::string head(const std::string& request, const std::string& length)
+std::string response_head(const std::string& request, const std::string& length)
 {
     return "HTTP/1.1 200 OK\r\nParsleytrack-Request-Id: " + request +
            "\r\nParsleytrack-Response-Seal: seal-" + request + "\r\n" + length +
            "\r\n\r\n";
 }
 
-std::string page(const std::string& request)
+std::string page_response(const std::string& request)
 {
     const std::string body = "page of " + request;
-    return head(request, "Content-Length: " + std::to_string(body.size())) +
+    return response_head(request,
+                         "Content-Length: " + std::to_string(body.size())) +
            body;
 }
 
@@ -52,21 +53,21 @@
 } // namespace
 
 raw_replica::raw_replica(net::event_loop& event_loop, std::string replica_name,
-                         fault how)
-    : loop(event_loop), id(std::move(replica_name)), behaviour(how),
+                         fault chosen_fault)
+    : loop(event_loop), id(std::move(replica_name)), behaviour(chosen_fault),
       listener(event_loop, [this](int descriptor) { this->accept(descriptor); })
 {
 }
 
 raw_replica::~raw_replica()
 {
-    for (const auto& [link, text] : this->links)
+    for (const auto& [link, text] : this->connections)
     {
         bufferevent_free(link);
     }
 }
 
-std::string raw_replica::entry(const std::string& service) const
+std::string raw_replica::record(const std::string& service) const
 {
     return replica_record(service, this->listener.address());
 }
@@ -75,7 +76,7 @@
 {
     bufferevent* link = bufferevent_socket_new(this->loop.base(), descriptor,
                                                BEV_OPT_CLOSE_ON_FREE);
-    this->links[link];
+    this->connections[link];
     bufferevent_setcb(
         link,
         [](bufferevent* from, void* argument)
@@ -90,7 +91,7 @@
 
 void raw_replica::read(bufferevent* link)
 {
-    std::string& text = this->links.at(link);
+    std::string& text = this->connections.at(link);
     evbuffer* input = bufferevent_get_input(link);
     const std::size_t length = evbuffer_get_length(input);
     text.append(reinterpret_cast<const char*>(evbuffer_pullup(input, -1)),
@@ -98,29 +99,29 @@
     evbuffer_drain(input, length);
     const std::size_t end = text.find("\r\n\r\n");
     const std::string body_length = field(text, "Content-Length");
-    const std::size_t whole =
+    const std::size_t request_bytes =
         end + 4 + (body_length.empty() ? 0 : std::stoul(body_length));
-    if (end == std::string::npos || text.size() < whole)
+    if (end == std::string::npos || text.size() < request_bytes)
     {
         return;
     }
     const std::string request = field(text, "Parsleytrack-Request-Id");
-    text.erase(0, whole);
+    text.erase(0, request_bytes);
     ++this->runs[request];
-    this->answer(link, request);
+    this->respond(link, request);
 }
 
-void raw_replica::answer(bufferevent* link, const std::string& request)
+void raw_replica::respond(bufferevent* link, const std::string& request)
 {
     std::string bytes;
     switch (this->behaviour)
     {
-    case fault::extra_answer:
-        bytes = page(request) + page(this->previous);
-        this->previous = request;
+    case fault::extra_response:
+        bytes = page_response(request) + page_response(this->previous_request);
+        this->previous_request = request;
         break;
     case fault::endless_event:
-        bytes = head(request, "Connection: close") + "id: 1\ndata: ";
+        bytes = response_head(request, "Connection: close") + "id: 1\ndata: ";
         break;
     case fault::reset:
         const linger abortive{1, 0};
@@ -136,14 +137,14 @@
 {
     if (this->behaviour == fault::endless_event && !this->runs.empty())
     {
-        const std::string piece(piece_bytes, 'x');
-        bufferevent_write(link, piece.data(), piece.size());
+        const std::string chunk(chunk_bytes, 'x');
+        bufferevent_write(link, chunk.data(), chunk.size());
     }
 }
 
 void raw_replica::close(bufferevent* link)
 {
-    this->links.erase(link);
+    this->connections.erase(link);
     bufferevent_free(link);
 }
 
--- a/tests/relay_support/raw_replica.hpp
+++ b/tests/relay_support/raw_replica.hpp
@@ -19,7 +19,7 @@
     enum class fault
     {
         /// Sends one more answer, of the request before, after each answer.
-        extra_answer,
+        extra_response,
         /// Begins an event and goes on with it for ever.
         endless_event,
         /// Reads the request and resets the connection.
@@ -27,13 +27,13 @@
     };
 
     raw_replica(net::event_loop& event_loop, std::string replica_name,
-                fault how);
+                fault chosen_fault);
     ~raw_replica();
     raw_replica(const raw_replica&) = delete;
     raw_replica& operator=(const raw_replica&) = delete;
 
     /// \returns What it writes of itself to the store.
-    std::string entry(const std::string& service) const;
+    std::string record(const std::string& service) const;
 
     const std::string& name() const { return this->id; }
 
@@ -47,14 +47,14 @@
 
 private:
     void accept(int descriptor);
-    void answer(bufferevent* link, const std::string& request);
+    void respond(bufferevent* link, const std::string& request);
 
     net::event_loop& loop;
     std::string id;
     fault behaviour;
     loopback_listener listener;
-    std::map<bufferevent*, std::string> links;
-    std::string previous = "0";
+    std::map<bufferevent*, std::string> connections;
+    std::string previous_request = "0";
 };
 
 } // namespace parsleytrack::relay_support
--- a/tests/relay_support/relay_fleet.cpp
+++ b/tests/relay_support/relay_fleet.cpp
@@ -17,11 +17,11 @@
 namespace
 {
 
-constexpr duration patience = std::chrono::seconds(20);
+constexpr duration wait_timeout = std::chrono::seconds(20);
 
 /// \returns A loopback address of this process's own, so that no connection
 /// or other test takes the port between its choice and its use.
-std::string own_host(std::size_t number)
+std::string node_host(std::size_t number)
 {
     const auto pid = static_cast<unsigned>(::getpid());
     return "127." + std::to_string(1 + (pid >> 8U) % 200) + "." +
@@ -29,10 +29,10 @@
 }
 
 /// Ports that are free at the addresses of all nodes.
-class port_choice
+class port_allocator
 {
 public:
-    port_choice(net::event_loop& event_loop, std::size_t host_count)
+    port_allocator(net::event_loop& event_loop, std::size_t host_count)
         : loop(event_loop), hosts(host_count)
     {
     }
@@ -45,9 +45,9 @@
         {
             net::http_server first(this->loop);
             const std::uint16_t port =
-                first.listen(endpoint{own_host(0), 0}).value();
+                first.listen(endpoint{node_host(0), 0}).value();
             first.stop_accepting();
-            if (this->is_free(port) && this->taken.insert(port).second)
+            if (this->is_free(port) && this->allocated.insert(port).second)
             {
                 return port;
             }
@@ -60,7 +60,7 @@
         for (std::size_t number = 0; number < this->hosts; ++number)
         {
             net::http_server probe(this->loop);
-            if (probe.listen(endpoint{own_host(number), port}).has_error())
+            if (probe.listen(endpoint{node_host(number), port}).has_error())
             {
                 return false;
             }
@@ -71,7 +71,7 @@
 
     net::event_loop& loop;
     std::size_t hosts;
-    std::set<std::uint16_t> taken;
+    std::set<std::uint16_t> allocated;
 };
 
 const char* const configuration_text = R"({"version":3,"routes":[
@@ -118,10 +118,10 @@
         if (this->options.has_proxies)
         {
             this->replica_proxies.push_back(std::make_unique<fault_proxy>(
-                this->loop, replica->listening()));
+                this->loop, replica->listen_address()));
             replica->advertise(this->replica_proxies.back()->address());
         }
-        this->store.put("servers/" + name, replica->entry(service));
+        this->store.put("servers/" + name, replica->record(service));
         return replica;
     };
     for (int number = 0; number < this->options.engine_count; ++number)
@@ -133,13 +133,13 @@
     this->store.put("servers/i-broken", "{\"service\":1}");
     this->nodes.resize(static_cast<std::size_t>(node_count));
     // All nodes use one port for one another, each at its own address.
-    port_choice ports(this->loop, this->nodes.size());
+    port_allocator ports(this->loop, this->nodes.size());
     const std::uint16_t peer_port = ports.next();
     const std::uint16_t metrics_port = ports.next();
     for (std::size_t number = 0; number < this->nodes.size(); ++number)
     {
         node& entry = this->nodes[number];
-        const std::string host = own_host(number);
+        const std::string host = node_host(number);
         entry.front = endpoint{host, ports.next()};
         entry.ready = endpoint{host, ports.next()};
         entry.directory = endpoint{host, ports.next()};
@@ -165,7 +165,7 @@
     this->wait(
         [this, node_count]
         {
-            const answer directory =
+            const response directory =
                 this->call(-1, "GET", "/v1/resolve?name=h&region=r&zone=z");
             const json body = json::parse(directory.body, nullptr, false);
             return body.is_object() && body["addresses"].size() ==
@@ -221,7 +221,7 @@
     const bool ready = this->wait(
         [this, number]
         {
-            const auto into = std::make_shared<answer>();
+            const auto into = std::make_shared<response>();
             const std::uint64_t call = this->next_call++;
             bool ended = false;
             this->calls[call] = this->client.send(
@@ -248,15 +248,16 @@
     }
 }
 
-void relay_fleet::begin(int number, const std::string& method,
-                        const std::string& path, const std::string& id,
-                        const std::string& body, std::shared_ptr<answer> into)
+void relay_fleet::start_call(int number, const std::string& method,
+                             const std::string& path, const std::string& id,
+                             const std::string& body,
+                             std::shared_ptr<response> into)
 {
     net::http_request request;
     request.method = method;
     request.target = path;
     request.body = body;
-    request.total_timeout = patience;
+    request.total_timeout = wait_timeout;
     request.allow_connection_reuse = false;
     request.headers = {{"Host", "h"}, {"Parsleytrack-Wait-Ms", "500"}};
     if (!id.empty())
@@ -284,13 +285,13 @@
                            }});
 }
 
-relay_fleet::answer relay_fleet::call(int number, const std::string& method,
-                                      const std::string& path,
-                                      const std::string& id,
-                                      const std::string& body)
+relay_fleet::response relay_fleet::call(int number, const std::string& method,
+                                        const std::string& path,
+                                        const std::string& id,
+                                        const std::string& body)
 {
-    const auto into = std::make_shared<answer>();
-    this->begin(number, method, path, id, body, into);
+    const auto into = std::make_shared<response>();
+    this->start_call(number, method, path, id, body, into);
     while (into->status < 0)
     {
         this->loop.run_for(std::chrono::milliseconds(10));
@@ -302,7 +303,7 @@
 {
     net::http_request request;
     request.target = "/metrics";
-    request.total_timeout = patience;
+    request.total_timeout = wait_timeout;
     std::string text;
     bool ended = false;
     const auto call = this->client.send(
@@ -318,8 +319,8 @@
     return text;
 }
 
-relay_fleet::answer relay_fleet::submit(int number, const std::string& job,
-                                        int items)
+relay_fleet::response relay_fleet::submit(int number, const std::string& job,
+                                          int items)
 {
     json body{{"items", json::array()}};
     for (int item = 0; item < items; ++item)
@@ -339,7 +340,7 @@
     this->wait(
         [this, number, &job, &all]
         {
-            const answer page = this->call(
+            const response page = this->call(
                 number, "GET",
                 "/v1/lots/" + job + "?after=" + std::to_string(all.size()));
             if (page.status != 200)
@@ -367,7 +368,7 @@
 
 bool relay_fleet::wait(const std::function<bool()>& condition)
 {
-    const time_point limit = net::event_loop::now() + patience;
+    const time_point limit = net::event_loop::now() + wait_timeout;
     while (!condition())
     {
         if (net::event_loop::now() > limit)
--- a/tests/relay_support/relay_fleet.hpp
+++ b/tests/relay_support/relay_fleet.hpp
@@ -33,7 +33,7 @@
                                      const std::string& plain_prefix);
 
     /// An answer, or status 0 when the connection ended without one.
-    struct answer
+    struct response
     {
         int status = 0;
         net::http_header_list headers;
@@ -41,19 +41,19 @@
     };
 
     /// Sends a request and waits for its answer.
-    answer call(int node, const std::string& method, const std::string& path,
-                const std::string& id = "", const std::string& body = "");
+    response call(int node, const std::string& method, const std::string& path,
+                  const std::string& id = "", const std::string& body = "");
 
     /// \returns The text of a node's metrics.
     std::string metrics_text(int node);
 
     /// Starts a request; the answer is put where the pointer points.
-    void begin(int node, const std::string& method, const std::string& path,
-               const std::string& id, const std::string& body,
-               std::shared_ptr<answer> into);
+    void start_call(int node, const std::string& method,
+                    const std::string& path, const std::string& id,
+                    const std::string& body, std::shared_ptr<response> into);
 
     /// Submits a job of some items.
-    answer submit(int node, const std::string& job, int items);
+    response submit(int node, const std::string& job, int items);
 
     /// Reads results until all are there or the time is over.
     nlohmann::json results(int node, const std::string& job);
--- a/tests/relay_support/replica_stand_in.cpp
+++ b/tests/relay_support/replica_stand_in.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr int cut_after = 3;
+constexpr int events_before_truncation = 3;
 
 } // namespace
 
@@ -19,22 +19,23 @@
     : loop(event_loop), id(std::move(replica_name)), server(event_loop)
 {
     this->address.port = this->server.listen(this->address).value();
-    this->shown_address = this->address;
+    this->advertised_address = this->address;
     this->server.set_handler(
         [this](const std::shared_ptr<net::http_exchange>& exchange)
         {
             exchange->on_body(1024 * 1024, [this, exchange](const std::string&)
-                              { this->take(exchange); });
+                              { this->handle_request(exchange); });
         });
 }
 
-std::string replica_stand_in::entry(const std::string& service,
-                                    const std::string& state) const
+std::string replica_stand_in::record(const std::string& service,
+                                     const std::string& state) const
 {
-    return replica_record(service, this->shown_address, state);
+    return replica_record(service, this->advertised_address, state);
 }
 
-void replica_stand_in::take(const std::shared_ptr<net::http_exchange>& exchange)
+void replica_stand_in::handle_request(
+    const std::shared_ptr<net::http_exchange>& exchange)
 {
     const auto& headers = exchange->head().headers;
     const std::string* request =
@@ -55,26 +56,27 @@
         return;
     }
     ++this->runs[*request];
-    const std::string* left =
+    const std::string* remaining_ms =
         net::find_header(headers, "Parsleytrack-Deadline-Ms");
-    if (left != nullptr)
+    if (remaining_ms != nullptr)
     {
-        this->told_time[*request] = {std::stoi(*left), net::event_loop::now()};
+        this->received_deadlines[*request] = {std::stoi(*remaining_ms),
+                                              net::event_loop::now()};
     }
-    const net::http_header_list answer{
+    const net::http_header_list response_headers{
         {"Parsleytrack-Request-Id", *request},
         {"Parsleytrack-Response-Seal", "seal-" + *request}};
     if (this->behaviour == fault::failing)
     {
-        exchange->respond(500, answer, "failed");
+        exchange->respond(500, response_headers, "failed");
         return;
     }
     if (exchange->head().path.starts_with("/plain/"))
     {
-        exchange->respond(200, answer, "page of " + *request);
+        exchange->respond(200, response_headers, "page of " + *request);
         return;
     }
-    this->start_stream(exchange, answer);
+    this->start_stream(exchange, response_headers);
 }
 
 void replica_stand_in::start_stream(
@@ -93,18 +95,20 @@
     net::http_header_list fields = headers;
     fields.emplace_back("Content-Type", "text/event-stream");
     exchange->start_stream(200, fields);
-    entry.pace = this->loop.call_every(this->event_interval,
-                                       [this, number] { this->step(number); });
+    entry.event_timer =
+        this->loop.call_every(this->event_interval, [this, number]
+                              { this->send_next_event(number); });
 }
 
-void replica_stand_in::step(std::uint64_t number)
+void replica_stand_in::send_next_event(std::uint64_t number)
 {
     stream& entry = this->streams.at(number);
     const auto exchange = entry.exchange;
-    const bool is_cut = this->behaviour == fault::cut && entry.next > cut_after;
-    if (entry.next > this->event_count || is_cut || !exchange->is_open())
+    const bool is_truncated = this->behaviour == fault::truncating &&
+                              entry.next > events_before_truncation;
+    if (entry.next > this->event_count || is_truncated || !exchange->is_open())
     {
-        if (is_cut)
+        if (is_truncated)
         {
             exchange->write_chunk("id: 99\ndata: br");
             exchange->abort();
@@ -113,7 +117,7 @@
         {
             exchange->finish_stream();
         }
-        const net::timer own = std::move(entry.pace);
+        const net::timer finished_timer = std::move(entry.event_timer);
         this->streams.erase(number);
         return;
     }
--- a/tests/relay_support/replica_stand_in.hpp
+++ b/tests/relay_support/replica_stand_in.hpp
@@ -25,7 +25,7 @@
         /// Says that it did not run the request.
         full,
         /// Breaks a stream off after its third event.
-        cut,
+        truncating,
         /// Answers items with 500.
         failing
     };
@@ -33,14 +33,17 @@
     replica_stand_in(net::event_loop& event_loop, std::string replica_name);
 
     /// \returns What it writes of itself to the store.
-    std::string entry(const std::string& service,
-                      const std::string& state = "ready") const;
+    std::string record(const std::string& service,
+                       const std::string& state = "ready") const;
 
     /// \returns Where it listens.
-    const endpoint& listening() const { return this->address; }
+    const endpoint& listen_address() const { return this->address; }
 
     /// Names another address in what it writes of itself.
-    void advertise(const endpoint& shown) { this->shown_address = shown; }
+    void advertise(const endpoint& advertised)
+    {
+        this->advertised_address = advertised;
+    }
 
     /// \returns Streams that are under way.
     std::size_t open_streams() const { return this->streams.size(); }
@@ -59,7 +62,7 @@
     std::map<std::string, std::vector<int>> resumed_after;
     /// Milliseconds that each request had left, as it was told, and when it
     /// came.
-    std::map<std::string, std::pair<int, time_point>> told_time;
+    std::map<std::string, std::pair<int, time_point>> received_deadlines;
     /// How often each request was run.
     std::map<std::string, int> runs;
 
@@ -68,19 +71,19 @@
     {
         std::shared_ptr<net::http_exchange> exchange;
         int next = 1;
-        net::timer pace;
+        net::timer event_timer;
     };
 
-    void take(const std::shared_ptr<net::http_exchange>& exchange);
+    void handle_request(const std::shared_ptr<net::http_exchange>& exchange);
     void start_stream(const std::shared_ptr<net::http_exchange>& exchange,
                       const net::http_header_list& headers);
-    void step(std::uint64_t number);
+    void send_next_event(std::uint64_t number);
 
     net::event_loop& loop;
     std::string id;
     net::http_server server;
     endpoint address{"127.0.0.1", 0};
-    endpoint shown_address;
+    endpoint advertised_address;
     std::map<std::uint64_t, stream> streams;
     std::uint64_t next_stream = 1;
 };
--- a/tests/relay_support/store_stand_in.cpp
+++ b/tests/relay_support/store_stand_in.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t max_body = 8 * 1024 * 1024;
+constexpr std::size_t max_body_bytes = 8 * 1024 * 1024;
 
 std::string query(const net::http_exchange& exchange, const char* name)
 {
@@ -28,12 +28,12 @@
 
 endpoint store_stand_in::add_address()
 {
-    door& entry = this->doors.emplace_back(this->loop);
+    access_point& entry = this->access_points.emplace_back(this->loop);
     entry.address = endpoint{"127.0.0.1", 0};
     entry.address.port = entry.server.listen(entry.address).value();
     entry.server.set_handler(
         [this, &entry](const std::shared_ptr<net::http_exchange>& exchange)
-        { this->take(entry, exchange); });
+        { this->handle_request(entry, exchange); });
     return entry.address;
 }
 
@@ -41,14 +41,14 @@
 {
     ++this->revision;
     this->write(key, value, false);
-    this->tell_watches();
+    this->notify_watches();
 }
 
 void store_stand_in::erase(const std::string& key)
 {
     ++this->revision;
     this->write(key, "", true);
-    this->tell_watches();
+    this->notify_watches();
 }
 
 std::vector<std::string> store_stand_in::values(const std::string& prefix) const
@@ -64,13 +64,13 @@
     return found;
 }
 
-void store_stand_in::turn_away(const endpoint& address, bool away)
+void store_stand_in::set_refusing(const endpoint& address, bool refusing)
 {
-    for (door& entry : this->doors)
+    for (access_point& entry : this->access_points)
     {
         if (entry.address == address)
         {
-            entry.away = away;
+            entry.refusing = refusing;
         }
     }
 }
@@ -78,7 +78,7 @@
 std::set<endpoint> store_stand_in::watchers(const std::string& prefix) const
 {
     std::set<endpoint> found;
-    for (const waiting_watch& watch : this->watches)
+    for (const pending_watch& watch : this->watches)
     {
         if (watch.prefix == prefix && watch.exchange->is_open())
         {
@@ -88,10 +88,11 @@
     return found;
 }
 
-void store_stand_in::take(const door& entry,
-                          const std::shared_ptr<net::http_exchange>& exchange)
+void store_stand_in::handle_request(
+    const access_point& entry,
+    const std::shared_ptr<net::http_exchange>& exchange)
 {
-    if (entry.away)
+    if (entry.refusing)
     {
         ++this->refused_count;
         exchange->respond(503, {}, "");
@@ -112,7 +113,8 @@
     }
     else if (path == "/v1/kv-txn")
     {
-        exchange->on_body(max_body, [this, exchange](const std::string& body)
+        exchange->on_body(max_body_bytes,
+                          [this, exchange](const std::string& body)
                           { this->commit(*exchange, body); });
     }
     else
@@ -181,13 +183,13 @@
     return found;
 }
 
-void store_stand_in::watch(const door& entry_door,
+void store_stand_in::watch(const access_point& source,
                            const std::shared_ptr<net::http_exchange>& exchange)
 {
-    waiting_watch& entry = this->watches.emplace_back();
+    pending_watch& entry = this->watches.emplace_back();
     entry.prefix = query(*exchange, "prefix");
     entry.after = std::stoll("0" + query(*exchange, "after"));
-    entry.address = entry_door.address;
+    entry.address = source.address;
     entry.exchange = exchange;
     entry.expiry = this->loop.call_after(
         std::chrono::milliseconds(std::stoll("0" + query(*exchange, "waitMs"))),
@@ -197,10 +199,10 @@
                                              {"currentRev", this->revision}}
                                             .dump());
         });
-    this->tell_watches();
+    this->notify_watches();
 }
 
-void store_stand_in::tell_watches()
+void store_stand_in::notify_watches()
 {
     for (auto entry = this->watches.begin(); entry != this->watches.end();)
     {
@@ -236,20 +238,21 @@
     ++this->transaction_count;
     const json change = json::parse(body);
     json current = json::array();
-    bool holds = true;
+    bool conditions_hold = true;
     for (const json& condition : change["expectRev"])
     {
         const std::string key = condition["key"];
         const auto found = this->keys.find(key);
         const bool exists = found != this->keys.end() && !found->second.deleted;
         const std::int64_t now = exists ? found->second.revision : 0;
-        holds = holds && now == condition["revision"].get<std::int64_t>();
+        conditions_hold =
+            conditions_hold && now == condition["revision"].get<std::int64_t>();
         if (exists)
         {
             current.push_back(this->item(key, found->second));
         }
     }
-    if (holds)
+    if (conditions_hold)
     {
         ++this->revision;
         for (const json& put : change["puts"])
@@ -264,12 +267,12 @@
             this->write(key, "", true);
         }
     }
-    if (this->lost_answers > 0)
+    if (this->lost_responses > 0)
     {
-        --this->lost_answers;
+        --this->lost_responses;
         exchange.abort();
     }
-    else if (holds)
+    else if (conditions_hold)
     {
         exchange.respond_json(200, json{{"revision", this->revision}}.dump());
     }
@@ -277,7 +280,7 @@
     {
         exchange.respond_json(412, json{{"items", current}}.dump());
     }
-    this->tell_watches();
+    this->notify_watches();
 }
 
 } // namespace parsleytrack::relay_support
--- a/tests/relay_support/store_stand_in.hpp
+++ b/tests/relay_support/store_stand_in.hpp
@@ -36,16 +36,16 @@
     std::vector<std::string> values(const std::string& prefix) const;
 
     /// Refuses all calls at an address with 503, or no longer.
-    void turn_away(const endpoint& address, bool away);
+    void set_refusing(const endpoint& address, bool refusing);
 
-    /// \returns Calls that were refused because of turn_away().
+    /// \returns Calls that were refused because of set_refusing().
     int refused_calls() const { return this->refused_count; }
 
     /// \returns Addresses through which changes of a prefix are waited for.
     std::set<endpoint> watchers(const std::string& prefix) const;
 
     /// The next transactions are carried out and not answered.
-    int lost_answers = 0;
+    int lost_responses = 0;
 
     int transactions() const { return this->transaction_count; }
 
@@ -57,7 +57,7 @@
         std::int64_t created = 0;
         bool deleted = false;
     };
-    struct waiting_watch
+    struct pending_watch
     {
         std::string prefix;
         std::int64_t after = 0;
@@ -65,30 +65,30 @@
         std::shared_ptr<net::http_exchange> exchange;
         net::timer expiry;
     };
-    struct door
+    struct access_point
     {
-        explicit door(net::event_loop& loop) : server(loop) {}
+        explicit access_point(net::event_loop& loop) : server(loop) {}
         net::http_server server;
         endpoint address;
-        bool away = false;
+        bool refusing = false;
     };
 
-    void take(const door& entry,
-              const std::shared_ptr<net::http_exchange>& exchange);
+    void handle_request(const access_point& entry,
+                        const std::shared_ptr<net::http_exchange>& exchange);
     void get(net::http_exchange& exchange);
     void list(net::http_exchange& exchange);
-    void watch(const door& entry,
+    void watch(const access_point& entry,
                const std::shared_ptr<net::http_exchange>& exchange);
     void commit(net::http_exchange& exchange, const std::string& body);
     nlohmann::json item(const std::string& key, const stored& entry) const;
     nlohmann::json events(const std::string& prefix, std::int64_t after) const;
     void write(const std::string& key, const std::string& value, bool deleted);
-    void tell_watches();
+    void notify_watches();
 
     net::event_loop& loop;
-    std::list<door> doors;
+    std::list<access_point> access_points;
     std::map<std::string, stored> keys;
-    std::list<waiting_watch> watches;
+    std::list<pending_watch> watches;
     std::int64_t revision = 1;
     int transaction_count = 0;
     int refused_count = 0;
--- a/tests/soak/callers.cpp
+++ b/tests/soak/callers.cpp
@@ -117,7 +117,7 @@
     {
         const std::string right = ended.what == kind::plain
                                       ? "page of " + ended.id
-                                      : relay_support::whole_stream();
+                                      : relay_support::expected_stream();
         if (ended.body != right)
         {
             wrong(ended.body);
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -20,12 +20,12 @@
 constexpr std::array link_faults = {
     std::pair{fault_proxy::fault::delayed, "delayed"},
     std::pair{fault_proxy::fault::reset, "reset"},
-    std::pair{fault_proxy::fault::silent, "silent"},
-    std::pair{fault_proxy::fault::cut_to_server, "cut to the server"},
-    std::pair{fault_proxy::fault::cut_to_client, "cut to the client"}};
+    std::pair{fault_proxy::fault::blocked, "silent"},
+    std::pair{fault_proxy::fault::blocked_to_server, "cut to the server"},
+    std::pair{fault_proxy::fault::blocked_to_client, "cut to the client"}};
 constexpr std::array behaviours = {
     std::pair{replica_stand_in::fault::full, "full"},
-    std::pair{replica_stand_in::fault::cut, "cuts streams"},
+    std::pair{replica_stand_in::fault::truncating, "cuts streams"},
     std::pair{replica_stand_in::fault::failing, "fails"}};
 
 } // namespace
@@ -54,23 +54,24 @@
     this->timers.clear();
     for (const auto& proxy : this->fleet.store_proxies)
     {
-        proxy->set(fault_proxy::fault::none);
+        proxy->set_fault(fault_proxy::fault::none);
     }
     for (const auto& proxy : this->fleet.replica_proxies)
     {
-        proxy->set(fault_proxy::fault::none);
+        proxy->set_fault(fault_proxy::fault::none);
     }
-    this->fleet.store.lost_answers = 0;
+    this->fleet.store.lost_responses = 0;
     for (const auto& engine : this->fleet.engines)
     {
         engine->behaviour = replica_stand_in::fault::none;
         this->fleet.store.put("servers/" + engine->name(),
-                              engine->entry("llm"));
+                              engine->record("llm"));
     }
     for (std::size_t node = 0; node < this->modes.size(); ++node)
     {
         const int number = static_cast<int>(node);
-        this->fleet.store.turn_away(this->fleet.store_address(number), false);
+        this->fleet.store.set_refusing(this->fleet.store_address(number),
+                                       false);
         switch (std::exchange(this->modes[node], node_mode::up))
         {
         case node_mode::up:
@@ -213,15 +214,15 @@
     {
     case 0:
         this->note("the store loses answers");
-        this->fleet.store.lost_answers += static_cast<int>(1 + this->draw(4));
+        this->fleet.store.lost_responses += static_cast<int>(1 + this->draw(4));
         return;
     case 1:
         this->note("the store turns " + name + " away");
-        this->fleet.store.turn_away(this->fleet.store_address(node), true);
+        this->fleet.store.set_refusing(this->fleet.store_address(node), true);
         this->after(span,
                     [this, node]
                     {
-                        this->fleet.store.turn_away(
+                        this->fleet.store.set_refusing(
                             this->fleet.store_address(node), false);
                         this->note("the store serves again");
                     });
@@ -231,19 +232,20 @@
         for (std::size_t other = 0; other < this->modes.size(); ++other)
         {
             fault_proxy& link = *this->fleet.store_proxies[other];
-            link.set(fault_proxy::fault::reset);
-            this->after(span, [&link] { link.set(fault_proxy::fault::none); });
+            link.set_fault(fault_proxy::fault::reset);
+            this->after(span,
+                        [&link] { link.set_fault(fault_proxy::fault::none); });
         }
         this->after(span, [this] { this->note("the store is back"); });
         return;
     default:
         const auto& [fault, title] = link_faults.at(this->draw(5));
         this->note(name + " and the store: " + title);
-        proxy.set(fault);
+        proxy.set_fault(fault);
         this->after(span,
                     [this, &proxy, name]
                     {
-                        proxy.set(fault_proxy::fault::none);
+                        proxy.set_fault(fault_proxy::fault::none);
                         this->note(name + " and the store: well");
                     });
         return;
@@ -262,7 +264,7 @@
     {
         const auto& [fault, title] = link_faults.at(this->draw(5));
         this->note("replica " + replica.name() + ": " + title);
-        proxy.set(fault);
+        proxy.set_fault(fault);
         break;
     }
     case 1:
@@ -275,16 +277,16 @@
     default:
         this->note("replica " + replica.name() + " leaves", true);
         this->fleet.store.put("servers/" + replica.name(),
-                              replica.entry("llm", "draining"));
+                              replica.record("llm", "draining"));
         break;
     }
     this->after(span,
                 [this, &replica, &proxy]
                 {
-                    proxy.set(fault_proxy::fault::none);
+                    proxy.set_fault(fault_proxy::fault::none);
                     replica.behaviour = replica_stand_in::fault::none;
                     this->fleet.store.put("servers/" + replica.name(),
-                                          replica.entry("llm"));
+                                          replica.record("llm"));
                     this->note("replica " + replica.name() + ": well");
                 });
 }
--- a/tests/soak/job_callers.cpp
+++ b/tests/soak/job_callers.cpp
@@ -132,7 +132,7 @@
     for (const json& entry : page["results"])
     {
         const bool done = entry["state"] == "completed";
-        if (done && entry["output"] != relay_support::whole_output())
+        if (done && entry["output"] != relay_support::expected_output())
         {
             this->problems.add("a result is whole", seen);
         }
