--- a/src/settings/batch_settings.hpp
+++ b/src/settings/batch_settings.hpp
@@ -5,16 +5,16 @@
 namespace parsleytrack::settings
 {
 
-/// How batch jobs are cut and kept.
+/// How batch jobs are split into lots and stored.
 struct batch_settings
 {
-    /// Most items in one lot.
+    /// Maximum items in one lot.
     int lot_items = 2000;
-    /// Keepers that hold a copy of each segment.
+    /// Number of keepers that store a copy of each segment.
     int copies = 3;
-    /// How long a lot's lease lasts without renewal.
+    /// Validity of a lot's lease without renewal.
     duration lease = std::chrono::seconds(8);
-    /// The most time that results wait to be committed together.
+    /// Maximum time that results wait to be committed as a group.
     duration commit_interval = std::chrono::seconds(2);
     /// How long the results of a finished job are kept.
     duration result_retention = std::chrono::hours(24 * 30);
--- a/src/settings/document_loader.hpp
+++ b/src/settings/document_loader.hpp
@@ -15,10 +15,10 @@
 namespace parsleytrack::settings::detail
 {
 
-/// \param text A document of settings.
-/// \param name What stands for the document in findings.
-/// \param read_settings Reads the settings by means of an object_reader.
-/// \returns The settings, or all that is wrong with them.
+/// \param text A settings document.
+/// \param name Names the document in findings, such as its path.
+/// \param read_settings Reads the settings from an object_reader.
+/// \returns The settings, or all findings when the document is invalid.
 template <class ReadSettings>
 auto parse_settings_document(std::string_view text, const std::string& name,
                              ReadSettings read_settings)
@@ -41,9 +41,10 @@
     return settings;
 }
 
-/// \param path A file of settings.
+/// \param path A settings file.
 /// \param read_settings As for parse_settings_document().
-/// \returns The settings, or why there are none.
+/// \returns The settings, or all findings when the file is unreadable or
+/// invalid.
 template <class ReadSettings>
 auto load_settings_document(const std::string& path, ReadSettings read_settings)
     -> std::variant<std::invoke_result_t<ReadSettings, object_reader&>,
--- a/src/settings/document_parser.cpp
+++ b/src/settings/document_parser.cpp
@@ -23,7 +23,7 @@
                    std::count(text.begin(), text.begin() + end, '\n'));
 }
 
-/// Follows the parser and notes fields that a document repeats.
+/// Parser callback that reports fields that occur twice in one object.
 class repeated_field_detector
 {
 public:
@@ -48,7 +48,7 @@
             {
                 this->problems.push_back(
                     {this->document_name,
-                     "field \"" + field + "\" stands twice in one object"});
+                     "field \"" + field + "\" occurs twice in one object"});
             }
         }
         return true;
@@ -60,8 +60,8 @@
     std::vector<std::set<std::string>> fields_by_depth;
 };
 
-/// \returns Whether brackets are nested more deeply than settings ever are;
-/// the parser's own recursion has no limit.
+/// \returns Whether brackets are nested more deeply than in any valid settings
+/// document. Checked before parsing, because the parser recurses without limit.
 bool exceeds_max_depth(std::string_view text)
 {
     int depth = 0;
--- a/src/settings/limit_settings.hpp
+++ b/src/settings/limit_settings.hpp
@@ -6,24 +6,24 @@
 namespace parsleytrack::settings
 {
 
-/// Bounds on what callers can ask for.
+/// Limits on requests and on the work that they cause.
 struct limit_settings
 {
-    /// Largest body of an online request or plain-service call.
+    /// Maximum body size of an online request or a call to a plain service.
     byte_count online_body{1'048'576};
-    /// Largest item of a batch job.
+    /// Maximum size of one item of a batch job.
     byte_count batch_item{1'048'576};
-    /// Most items of a batch job.
+    /// Maximum items in a batch job.
     int batch_items = 200'000;
-    /// Online requests that wait at one gate, for each slot of its replica.
+    /// Maximum online requests queued at a gate, per slot of its replica.
     int queued_per_slot = 4;
-    /// Retries as a fraction of first tries.
+    /// Maximum retries, as a fraction of first attempts.
     double retry_budget = 0.1;
-    /// Attempts at one online request, the first included.
+    /// Maximum attempts per online request, including the first.
     int online_attempts = 3;
-    /// Attempts at one batch item, the first included.
+    /// Maximum attempts per batch item, including the first.
     int batch_attempts = 4;
-    /// Loads from the weight store at the same time, in one region.
+    /// Maximum concurrent loads from the weight store in one region.
     int weight_loads = 4;
 };
 
--- a/src/settings/log_level_reader.hpp
+++ b/src/settings/log_level_reader.hpp
@@ -6,10 +6,10 @@
 namespace parsleytrack::settings::detail
 {
 
-/// Reads the part "log".
+/// Reads the section "log".
 ///
-/// \param reader The whole settings.
-/// \param level Set when the part names one.
+/// \param reader The outermost object of the settings document.
+/// \param level Receives the level; info when none is given.
 void read_log_level(object_reader& reader, log_level& level);
 
 } // namespace parsleytrack::settings::detail
--- a/src/settings/node_settings.hpp
+++ b/src/settings/node_settings.hpp
@@ -14,38 +14,41 @@
 namespace parsleytrack::settings
 {
 
-/// All settings of one daemon.
+/// All settings of one parsleytrackd process.
 struct node_settings
 {
     node_id id;
     region_name region;
     availability_zone_name availability_zone;
-    /// Where callers connect.
+    /// Listen address for callers.
     endpoint http;
-    /// Where other nodes connect, over TCP and UDP.
+    /// Listen address for other nodes, over TCP and UDP.
     endpoint peer;
-    /// Whether callers are told to connect here.
+    /// Whether this node's address is given to callers.
     bool entry = true;
-    /// Folder for bulk data; empty for a node that is not a keeper.
+    /// Directory for segments; empty for a node that is not a keeper.
     std::string data_folder;
-    /// Peer addresses of nodes to join through.
+    /// Peer addresses of the nodes through which this node joins the group.
     std::vector<endpoint> seeds;
     /// Addresses of the platform's store.
     std::vector<endpoint> store;
-    /// Most calls a second to the platform's store, a waiting watch included.
+    /// Maximum calls per second to the platform's store. A pending watch counts
+    /// as a call.
     int store_calls_per_s = 20;
     std::vector<service_settings> services;
     limit_settings limits;
     batch_settings batch;
-    /// 0 favours online latency, 1 favours batch throughput.
+    /// From 0, which favours online latency, to 1, which favours batch
+    /// throughput.
     double batch_weight = 0.5;
-    /// How long callers may keep an address answer.
+    /// How long callers may cache an address response.
     duration address_validity = std::chrono::seconds(10);
-    /// Beyond the validity, how long a leaving node goes on serving at least.
+    /// Minimum time that a leaving node keeps serving after address_validity
+    /// has passed.
     duration leave_margin = std::chrono::seconds(2);
     log_level level = log_level::info;
 
-    /// \returns Whether this node holds bulk data.
+    /// \returns Whether this node stores segments.
     bool is_keeper() const { return !this->data_folder.empty(); }
 };
 
--- a/src/settings/object_reader.cpp
+++ b/src/settings/object_reader.cpp
@@ -62,7 +62,7 @@
     std::string text = this->optional_text(field);
     if (text.empty() && this->problems.size() == before)
     {
-        this->report(field, "is missing; a text is needed");
+        this->report(field, "is missing; a string is required");
     }
     return text;
 }
@@ -76,7 +76,7 @@
     }
     if (!value->is_string())
     {
-        this->report(field, "must be a text");
+        this->report(field, "must be a string");
         return "";
     }
     return value->get<std::string>();
@@ -202,7 +202,7 @@
             continue;
         }
         this->report(std::string(field) + "/" + std::to_string(index),
-                     "must be a text \"IP:PORT\"");
+                     "must be a string \"IP:PORT\"");
     }
     return parsed;
 }
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -17,54 +17,58 @@
 namespace parsleytrack::settings::detail
 {
 
-/// Reads the fields of one JSON object and collects what is wrong with them.
-/// A field that was never asked for is a finding as well.
+/// Reads the fields of one JSON object and collects findings about them. A
+/// field that no read function has requested is a finding as well.
 class object_reader
 {
 public:
-    /// \param value The object; a finding when it is something else.
-    /// \param pointer Its JSON pointer.
-    /// \param problems Where findings are added.
+    /// \param value The object; any other JSON type is a finding.
+    /// \param pointer Location of the object: its JSON pointer, behind the
+    /// document's name.
+    /// \param problems Receives the findings.
     object_reader(const nlohmann::json& value, std::string pointer,
                   findings& problems);
 
-    /// Reads a text field.
+    /// Reads a string; a missing or empty one is a finding.
     ///
-    /// \returns The text; a finding and an empty text when it is missing.
+    /// \returns The string; empty after a finding.
     std::string required_text(const char* field);
 
-    /// \returns The text, or an empty one when the field is missing.
+    /// \returns The string; empty when the field is missing.
     std::string optional_text(const char* field);
 
-    /// Reads a whole number.
+    /// Reads an integer. A value of another type or out of range is a finding.
     ///
-    /// \param fallback The value of a missing field.
-    /// \param min_value The least value allowed.
-    /// \param max_value The greatest value allowed.
+    /// \param fallback Returned for a missing or invalid field.
+    /// \param min_value Lower bound, inclusive.
+    /// \param max_value Upper bound, inclusive.
     std::int64_t integer(const char* field, std::int64_t fallback,
                          std::int64_t min_value, std::int64_t max_value);
 
-    /// Reads a number.
+    /// As integer(), for a number that may have a fraction.
     double number(const char* field, double fallback, double min_value,
                   double max_value);
 
-    /// Reads a time in seconds.
+    /// As number(), for a duration given in seconds.
     duration seconds(const char* field, duration fallback, duration min_value,
                      duration max_value);
 
-    /// Reads true or false.
+    /// Reads a boolean.
+    ///
+    /// \param fallback Returned for a missing or invalid field.
     bool flag(const char* field, bool fallback);
 
-    /// Reads a text that must be one of a few.
+    /// Reads a string that must be one of `names`.
     ///
-    /// \returns The position among the choices; fallback when missing.
+    /// \returns Its index in `names`; fallback when the field is missing, empty
+    /// or invalid.
     std::size_t choice(const char* field, const std::vector<std::string>& names,
                        std::size_t fallback);
 
-    /// Reads a list of "IP:PORT".
+    /// Reads a list of "IP:PORT"; a missing list counts as empty.
     std::vector<endpoint> endpoints(const char* field);
 
-    /// Reads an object within this one. A missing one counts as empty.
+    /// Reads a nested object. A missing one counts as empty.
     void object(const char* field,
                 const std::function<void(object_reader&)>& read);
 
@@ -72,13 +76,14 @@
     void each(const char* field,
               const std::function<void(object_reader&)>& read);
 
-    /// Adds a finding about a field of this object.
+    /// Adds a finding about a field of this object, or about the object itself
+    /// when `field` is empty.
     void report(std::string_view field, std::string message);
 
-    /// Adds a finding for each field that nobody asked for.
+    /// Adds a finding for each field that no read function has requested.
     void report_unknown_fields();
 
-    /// \returns The JSON pointer of this object.
+    /// \returns The location of this object, as passed to the constructor.
     const std::string& pointer() const { return this->location; }
 
 private:
--- a/src/settings/relay_settings.hpp
+++ b/src/settings/relay_settings.hpp
@@ -11,36 +11,38 @@
 namespace parsleytrack::settings
 {
 
-/// Settings of a relay node, which takes its routes and replicas from the
+/// Settings of a relay node, which reads its routes and replicas from the
 /// platform's store.
 struct relay_settings
 {
     node_id id;
     region_name region;
     availability_zone_name availability_zone;
-    /// What the node may spend, in thousandths of a core.
+    /// CPU capacity of the node, in thousandths of a core.
     int capacity_millicores = 1000;
-    /// Where callers connect; absent for a node that takes none.
+    /// Listen address for callers; absent on a node that serves none.
     std::optional<endpoint> front;
-    /// Where the node answers whether it takes requests.
+    /// Listen address of the readiness check.
     std::optional<endpoint> ready;
-    /// Where callers ask for addresses.
+    /// Listen address of the directory, which gives callers addresses to use.
     std::optional<endpoint> directory;
-    /// Where metrics are served.
+    /// Listen address of the metrics page.
     std::optional<endpoint> metrics;
-    /// Where other nodes connect, over TCP and UDP.
+    /// Listen address for other nodes, over TCP and UDP.
     endpoint peer;
-    /// Peer addresses of nodes to join through.
+    /// Peer addresses of the nodes through which this node joins the group.
     std::vector<endpoint> seeds;
     endpoint store;
-    /// Up to so many nodes all follow the store's list of replicas; in larger
-    /// groups most follow it through a few others.
+    /// In groups of up to this many nodes, every node watches the list of
+    /// replicas in the store; in larger groups most receive it from a few
+    /// others.
     int max_direct_followers = 16;
-    /// How long callers may keep an address answer.
+    /// How long callers may cache an address response.
     duration address_validity = std::chrono::seconds(2);
-    /// How long after its submission a finished job's results stay readable.
+    /// How long the results of a finished job stay readable, counted from the
+    /// submission of the job.
     duration result_retention = std::chrono::minutes(15);
-    /// Longest time of a planned stop.
+    /// Maximum duration of a planned shutdown.
     duration stop_timeout = std::chrono::seconds(8);
     log_level level = log_level::info;
 };
--- a/src/settings/relay_settings_loader.cpp
+++ b/src/settings/relay_settings_loader.cpp
@@ -64,7 +64,7 @@
     settings.peer = read_address(reader, "peer");
     if (settings.front && !settings.ready)
     {
-        reader.report("ready", "is needed by a node that takes callers");
+        reader.report("ready", "is required on a node that serves callers");
     }
 }
 
@@ -78,8 +78,8 @@
     reader.object("listen", [&settings](object_reader& section)
                   { read_listen(section, settings); });
     settings.seeds = reader.endpoints("seeds");
-    // The platform names the seeds by another port; all nodes use the same
-    // port for one another.
+    // The platform lists the seeds with another port; all nodes use the same
+    // peer port.
     for (endpoint& seed : settings.seeds)
     {
         seed.port = settings.peer.port;
--- a/src/settings/replica_settings.hpp
+++ b/src/settings/replica_settings.hpp
@@ -6,7 +6,8 @@
 namespace parsleytrack::settings
 {
 
-/// A backend server that is known before the platform's list is read.
+/// A backend server given in the settings, known before the platform's list
+/// has been read.
 struct replica_settings
 {
     replica_id id;
--- a/src/settings/route_settings.hpp
+++ b/src/settings/route_settings.hpp
@@ -5,12 +5,12 @@
 namespace parsleytrack::settings
 {
 
-/// How calls to some paths of a plain service are treated.
+/// How calls under a path prefix of a plain service are handled.
 struct route_settings
 {
-    /// In capitals; empty stands for every method.
+    /// HTTP method in upper case; empty matches every method.
     std::string method;
-    /// Start of the path; the longest match counts.
+    /// Start of the path; the longest matching prefix applies.
     std::string path_prefix;
     /// Whether a call may be sent again after a failure.
     bool idempotent = false;
--- a/src/settings/service_kind.hpp
+++ b/src/settings/service_kind.hpp
@@ -3,10 +3,10 @@
 namespace parsleytrack::settings
 {
 
-/// What stands behind a service.
+/// What kind of backend server runs a service.
 enum class service_kind
 {
-    /// A model engine.
+    /// A model inference engine.
     engine,
     /// Any other HTTP service.
     plain
--- a/src/settings/service_settings.hpp
+++ b/src/settings/service_settings.hpp
@@ -11,25 +11,26 @@
 namespace parsleytrack::settings
 {
 
-/// One service that the fleet serves.
+/// Settings of one service.
 struct service_settings
 {
     service_name name;
     service_kind kind = service_kind::engine;
-    /// Requests that one replica runs at the same time.
+    /// Number of requests that one replica runs concurrently.
     int slots = 8;
-    /// Slots of a replica that batch work never takes.
+    /// Slots of each replica that are reserved for online requests.
     int online_reserve = 0;
-    /// Whether its engines refuse an order with an old fencing number.
+    /// Whether its engines refuse a control request with an outdated fencing
+    /// number.
     bool checks_fencing = true;
-    /// Deadline of online requests that name none.
+    /// Default deadline of online requests.
     duration online_deadline = std::chrono::seconds(30);
-    /// Longest time that a replica may take to begin an answer.
+    /// Maximum time until a replica starts its response.
     duration first_byte_timeout = std::chrono::seconds(10);
-    /// Longest pause within a streamed answer.
+    /// Maximum pause within a streamed response.
     duration idle_timeout = std::chrono::seconds(5);
     std::vector<route_settings> routes;
-    /// Beside the replicas that the platform lists.
+    /// Static replicas, in addition to those that the platform lists.
     std::vector<replica_settings> replicas;
 };
 
--- a/src/settings/service_settings_reader.cpp
+++ b/src/settings/service_settings_reader.cpp
@@ -32,7 +32,7 @@
     const std::string address = reader.required_text("address");
     if (!address.empty() && !parse_endpoint(address, replica.address))
     {
-        reader.report("address", "must be a text \"IP:PORT\"");
+        reader.report("address", "must be a string \"IP:PORT\"");
     }
     replica.availability_zone =
         availability_zone_name(reader.required_text("availability_zone"));
@@ -68,7 +68,7 @@
                 { service.routes.push_back(read_route(route)); });
     if (service.kind == service_kind::engine && !service.routes.empty())
     {
-        reader.report("routes", "only a plain service has routes");
+        reader.report("routes", "is only allowed for a plain service");
     }
     reader.each("replicas", [&service](object_reader& replica)
                 { service.replicas.push_back(read_replica(replica)); });
--- a/src/settings/settings_loader.hpp
+++ b/src/settings/settings_loader.hpp
@@ -10,13 +10,13 @@
 namespace parsleytrack::settings
 {
 
-/// Either usable settings or all that is wrong with them.
+/// The settings, or all findings when they are invalid.
 using load_outcome = std::variant<node_settings, findings>;
 
 /// Reads settings from JSON with comments.
 ///
 /// \param text The document.
-/// \param name What stands for the document in findings, such as its path.
+/// \param name Names the document in findings, such as its path.
 /// \returns The settings, or every finding with its JSON pointer or line.
 load_outcome parse_settings(std::string_view text, const std::string& name);
 
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -27,7 +27,8 @@
     const auto port = reader.integer(field, -1, 0, max_port);
     if (port < 0)
     {
-        reader.report(field, "is missing; a port is needed, 0 for a free one");
+        reader.report(field,
+                      "is missing; a port is required, or 0 for any free one");
     }
     return endpoint{
         host, static_cast<std::uint16_t>(std::max<std::int64_t>(port, 0))};
@@ -49,7 +50,7 @@
     endpoint ignored;
     if (!host.empty() && !parse_endpoint(host + ":1", ignored))
     {
-        reader.report("host", "must be an IP number of this node");
+        reader.report("host", "must be an IPv4 address of this node");
     }
     settings.http = read_listen_address(reader, host, "http_port");
     settings.peer = read_listen_address(reader, host, "peer_port");
@@ -64,7 +65,7 @@
     settings.store = reader.endpoints("addresses");
     if (settings.store.empty())
     {
-        reader.report("addresses", "needs at least one \"IP:PORT\"");
+        reader.report("addresses", "must list at least one \"IP:PORT\"");
     }
     settings.store_calls_per_s = static_cast<int>(reader.integer(
         "calls_per_s", settings.store_calls_per_s, 1, max_store_calls_per_s));
@@ -124,7 +125,7 @@
         const std::string location = "services/" + std::to_string(index);
         if (!names.insert(service.name.str()).second)
         {
-            reader.report(location + "/name", "stands twice");
+            reader.report(location + "/name", "occurs twice");
         }
         for (const replica_settings& replica : service.replicas)
         {
@@ -132,13 +133,13 @@
             {
                 reader.report(location + "/replicas", "replica \"" +
                                                           replica.id.str() +
-                                                          "\" stands twice");
+                                                          "\" occurs twice");
             }
         }
     }
     if (settings.services.empty())
     {
-        reader.report("services", "needs at least one service");
+        reader.report("services", "must list at least one service");
     }
 }
 
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -8,11 +8,11 @@
 
 /// Reads every field of a settings document.
 ///
-/// \param reader The document's outermost object.
-/// \returns The settings; not usable when the reader has reported findings.
+/// \param reader The outermost object of the document.
+/// \returns The settings; invalid when the reader has reported findings.
 node_settings read_node_settings(object_reader& reader);
 
-/// Reads one element of "services".
+/// \param reader One element of "services".
 service_settings read_service_settings(object_reader& reader);
 
 } // namespace parsleytrack::settings::detail
--- a/tests/settings/relay_settings_test.cpp
+++ b/tests/settings/relay_settings_test.cpp
@@ -14,7 +14,7 @@
 }
 ;
 
-TEST(relay_settings, reads_a_node_that_takes_callers)
+TEST(relay_settings, reads_a_node_that_serves_callers)
 {
     const auto outcome = parse_relay_settings(
         R"({// As the deploy template writes it.
@@ -27,12 +27,13 @@
     const auto& read = std::get<relay_settings>(outcome);
     CHECK_EQUAL(250, read.capacity_millicores);
     CHECK_EQUAL(80, read.front->port);
-    // Seeds are reached at the port that all nodes use for one another.
+    // The port of a seed is replaced by the peer port, which is the same on
+    // all nodes.
     CHECK_EQUAL(7000, read.seeds.at(0).port);
     CHECK(read.stop_timeout == std::chrono::seconds(8));
 }
 
-TEST(relay_settings, a_storage_node_listens_nowhere_for_callers)
+TEST(relay_settings, a_storage_node_does_not_listen_for_callers)
 {
     const auto outcome = parse_relay_settings(
         R"({"node":{"id":"n","region":"r","availability_zone":"z"},
--- a/tests/settings/settings_loader_test.cpp
+++ b/tests/settings/settings_loader_test.cpp
@@ -55,7 +55,7 @@
     CHECK(!settings.is_keeper());
 }
 
-TEST(settings_loader, reports_all_findings_with_their_place)
+TEST(settings_loader, reports_several_findings_at_once)
 {
     std::string text = replaced("\"slots\": 8", "\"slots\": -1, \"slot\": 2");
     text.replace(text.find("127.0.0.1:2379"), 14, "store.local:x ");
@@ -76,7 +76,7 @@
                       "test.json");
 }
 
-TEST(settings_loader, the_same_field_in_two_objects_is_no_finding)
+TEST(settings_loader, the_same_field_in_two_objects_is_allowed)
 {
     const std::string second =
         R"({"id": "r1", "address": "127.0.0.1:9001",
@@ -84,12 +84,12 @@
     CHECK(problems_of(replaced("{\"id\": \"r1\",", second)).empty());
 }
 
-TEST(settings_loader, a_syntax_error_names_its_line)
+TEST(settings_loader, a_syntax_error_reports_its_line)
 {
     check_one_problem(replaced("\"store\":", "\"store\""), "test.json:6");
 }
 
-TEST(settings_loader, a_reserve_over_the_slots_is_a_finding)
+TEST(settings_loader, a_reserve_larger_than_the_slots_is_a_finding)
 {
     check_one_problem(
         replaced("\"slots\": 8", "\"slots\": 8, \"online_reserve\": 9"),
