--- a/src/logging/bounded_sink.cpp
+++ b/src/logging/bounded_sink.cpp
@@ -49,7 +49,7 @@
 
 bool bounded_sink::write_line(const char* data, std::size_t size)
 {
-    // Lines are shorter than PIPE_BUF, so a writable pipe takes one whole.
+    // Lines are shorter than PIPE_BUF, so a writable pipe accepts a whole line.
     pollfd poll_entry{this->descriptor, POLLOUT, 0};
     if (::poll(&poll_entry, 1, 0) != 1 || (poll_entry.revents & POLLOUT) == 0)
     {
--- a/src/logging/bounded_sink.hpp
+++ b/src/logging/bounded_sink.hpp
@@ -11,26 +11,26 @@
 namespace parsleytrack::detail
 {
 
-/// Writes log lines to a descriptor without ever waiting for its reader. Lines
-/// beyond a rate, and lines that the reader has no room for, are dropped and
-/// counted; the count is written with the next line that gets through.
+/// Writes log lines to a file descriptor without ever blocking on its reader.
+/// Lines that exceed the rate limit or do not fit into the pipe are dropped and
+/// counted; the count is logged before the next line that passes the limit.
 class bounded_sink
     : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
 {
 public:
     using clock = std::function<time_point()>;
 
-    /// Most lines a second. A node that answers 200 requests a second writes
-    /// two lines for each, and some for what it learns.
+    /// Refill rate of the token bucket. A node that serves 200 requests per
+    /// second writes two lines for each, and some about state changes.
     static constexpr double lines_per_s = 500.0;
-    /// Lines that may come at once after a quiet time.
+    /// Size of the token bucket: lines accepted at once after an idle period.
     static constexpr double burst_lines = 1000.0;
 
-    /// \param output Where lines are written; not closed.
-    /// \param now_clock Measures the rate.
+    /// \param output File descriptor for the lines; not closed.
+    /// \param now_clock Returns the current time, for the rate limit.
     bounded_sink(int output, clock now_clock);
 
-    /// \returns Lines dropped so far.
+    /// \returns Number of lines dropped so far.
     std::uint64_t dropped() const { return this->total_dropped; }
 
 protected:
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -38,18 +38,18 @@
     }
 };
 
-/// Sets which lines are written, and the name that each line carries.
+/// Sets the minimum level and the node name that each line contains.
 ///
 /// \param level The lowest level that is written.
-/// \param node The value of the field "node"; left out when empty.
+/// \param node The value of the key "node", which is omitted when empty.
 void configure_logging(log_level level, std::string_view node);
 
-/// Writes one line of key=value pairs to the standard output, unless its
-/// reader is too slow or too many lines come; see detail::bounded_sink.
+/// Writes one line of key=value pairs to the standard output. The line is
+/// dropped when the reader is too slow or the rate limit is exceeded; see
+/// detail::bounded_sink.
 ///
-/// \param level The level of the line.
 /// \param event The name of the event, in snake_case.
-/// \param fields What is to be known about it.
+/// \param fields Details of the event.
 void log_event(log_level level, std::string_view event,
                std::initializer_list<log_field> fields = {});
 
--- a/src/logging/log_findings.hpp
+++ b/src/logging/log_findings.hpp
@@ -7,10 +7,9 @@
 namespace parsleytrack
 {
 
-/// Writes a line for each finding, at level error.
+/// Logs each finding as one line at level error.
 ///
-/// \param event The name of the event.
-/// \param problems What was found.
+/// \param event The name of the event, in snake_case.
 void log_findings(std::string_view event, const findings& problems);
 
 } // namespace parsleytrack
--- a/src/metrics/latency_histogram.hpp
+++ b/src/metrics/latency_histogram.hpp
@@ -10,7 +10,8 @@
 namespace parsleytrack::metrics
 {
 
-/// Counts latencies in buckets whose bounds include the users' targets.
+/// Histogram of latencies; the bucket bounds include the users' latency
+/// targets.
 class latency_histogram
 {
 public:
@@ -19,17 +20,16 @@
     latency_histogram(latency_histogram&&) noexcept;
     latency_histogram& operator=(latency_histogram&&) noexcept;
 
-    /// \param value The latency.
     void record(duration value);
 
-    /// \returns How many latencies were recorded.
+    /// \returns The number of recorded latencies.
     std::uint64_t count() const { return this->recorded; }
 
     /// \returns Their sum in seconds.
     double sum_seconds() const { return this->sum; }
 
-    /// \returns Each bucket's upper bound in seconds and how many latencies
-    /// are below it, without the last bucket, which has no bound.
+    /// \returns For each bucket its upper bound in seconds and the number of
+    /// latencies below it. The last bucket, which has no bound, is omitted.
     std::vector<std::pair<double, std::uint64_t>> cumulative_buckets() const;
 
 private:
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// One metric's values by their printed labels.
+/// The values of one metric, by formatted labels.
 template <class Value>
 using family = std::map<std::string, Value>;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// \returns Labels as they are printed between braces.
+/// \returns The labels in Prometheus' text format, without the braces.
 std::string format_labels(const label_list& labels)
 {
     std::string text;
--- a/src/metrics/registry.hpp
+++ b/src/metrics/registry.hpp
@@ -13,7 +13,7 @@
 namespace parsleytrack::metrics
 {
 
-/// Label names and values, in the order in which they are printed.
+/// Label names and values, in output order.
 using label_list = std::vector<std::pair<std::string, std::string>>;
 
 /// All counters, gauges and latency histograms of a process.
@@ -29,7 +29,7 @@
     ///
     /// \param name Such as "parsleytrack_refusals_total".
     /// \param labels Such as {{"reason", "overloaded"}}.
-    /// \param amount What is added.
+    /// \param amount The increment.
     void count(std::string_view name, const label_list& labels,
                std::uint64_t amount = 1);
 
@@ -41,11 +41,11 @@
     void observe(std::string_view name, const label_list& labels,
                  duration value);
 
-    /// \returns The value of a counter; 0 when it was never counted.
+    /// \returns The value of a counter; 0 when nothing was added to it.
     std::uint64_t counter_value(std::string_view name,
                                 const label_list& labels) const;
 
-    /// \returns Everything in Prometheus' text format.
+    /// \returns All metrics in Prometheus' text format.
     std::string prometheus_text() const;
 
 private:
--- a/src/units/endpoint.hpp
+++ b/src/units/endpoint.hpp
@@ -7,7 +7,7 @@
 namespace parsleytrack
 {
 
-/// An IP number and a port.
+/// An IPv4 address and a port.
 struct endpoint
 {
     std::string host;
@@ -16,7 +16,6 @@
     auto operator<=>(const endpoint&) const = default;
 };
 
-/// \param target Any endpoint.
 /// \returns "host:port", for logs and messages.
 std::string to_string(const endpoint& target);
 
--- a/src/units/error.hpp
+++ b/src/units/error.hpp
@@ -10,15 +10,16 @@
 namespace parsleytrack
 {
 
-/// A failed operation: the reason, a sentence for people, and what the caller
-/// may conclude from it.
+/// Describes a failed operation: its reason, a message for people, and whether
+/// the request may have been executed.
 struct error
 {
     error_code code = error_code::internal;
-    /// One sentence that says what was wrong and with what.
+    /// One sentence: what failed and why.
     std::string message;
     ran_state ran = ran_state::no;
-    /// When asking again may help; absent where it does not.
+    /// Delay after which a retry may succeed; absent where a retry does not
+    /// help.
     std::optional<duration> retry_after;
 };
 
--- a/src/units/error_code.hpp
+++ b/src/units/error_code.hpp
@@ -5,7 +5,7 @@
 namespace parsleytrack
 {
 
-/// Why an operation has failed or a request was refused.
+/// Why an operation failed or a request was refused.
 enum class error_code
 {
     bad_request,
@@ -20,7 +20,8 @@
     deadline_exceeded,
     shutting_down,
     no_replica,
-    /// A gate would queue the request; another replica may have a free slot.
+    /// A gate returned the request instead of queueing it; another replica may
+    /// have a free slot.
     passed_back,
     store_unavailable,
     store_outcome_unknown,
@@ -36,12 +37,11 @@
     internal
 };
 
-/// \param code The reason.
-/// \returns The reason as it stands in answers, logs and metric labels.
+/// \returns The name of the code in responses, logs and metric labels.
 std::string_view to_string(error_code code);
 
-/// \param name A reason as to_string() writes it.
-/// \returns The reason, or error_code::internal for an unknown name.
+/// \param name A name as returned by to_string().
+/// \returns The code, or error_code::internal for an unknown name.
 error_code error_code_from_string(std::string_view name);
 
 } // namespace parsleytrack
--- a/src/units/finding.hpp
+++ b/src/units/finding.hpp
@@ -6,16 +6,16 @@
 namespace parsleytrack
 {
 
-/// One thing that is wrong with a document, and where.
+/// One error in a document, and its location.
 struct finding
 {
     /// File and line, or a JSON pointer into the document.
     std::string location;
-    /// One sentence: what is wrong and what is allowed.
+    /// What is wrong and which values are valid.
     std::string message;
 };
 
-/// All that is wrong with a document; empty when it is valid.
+/// All errors in a document; empty when it is valid.
 using findings = std::vector<finding>;
 
 } // namespace parsleytrack
--- a/src/units/numbers.hpp
+++ b/src/units/numbers.hpp
@@ -7,13 +7,13 @@
 
 using byte_count = strong_number<struct byte_count_tag>;
 using token_count = strong_number<struct token_count_tag>;
-/// Version of the configuration in force; grows in uneven steps.
+/// Version of the active configuration; increases, but not always by one.
 using configuration_version = strong_number<struct configuration_version_tag>;
-/// Version of the release in force; grows by one with each accepted note.
+/// Version of the active release; increases by one with each accepted note.
 using release_version = strong_number<struct release_version_tag>;
-/// Grows with each new holder of a lease or a gate.
+/// Increases with each new holder of a lease or a gate.
 using epoch_number = strong_number<struct epoch_number_tag>;
-/// Number that orders to an engine carry; an engine refuses an old one.
+/// Sent with control requests to an engine, which refuses an outdated number.
 using fencing_number = strong_number<struct fencing_number_tag>;
 /// Revision of one key in the platform's store; 0 means "absent".
 using store_revision = strong_number<struct store_revision_tag>;
@@ -21,7 +21,7 @@
 using lot_index = strong_number<struct lot_index_tag>;
 /// Position of an item within its job, from 0.
 using item_index = strong_number<struct item_index_tag>;
-/// Attempt at a request or item; the first is 1.
+/// Attempt at a request or item, from 1.
 using attempt_number = strong_number<struct attempt_number_tag>;
 /// SWIM incarnation of a node.
 using incarnation_number = strong_number<struct incarnation_number_tag>;
--- a/src/units/random_source.hpp
+++ b/src/units/random_source.hpp
@@ -5,8 +5,8 @@
 namespace parsleytrack
 {
 
-/// The generator that decisions draw from. It is passed in, so that a run
-/// with the same seed takes the same course.
+/// Random number generator for decisions. It is passed in, so that a run with
+/// the same seed is reproducible.
 using random_source = std::mt19937_64;
 
 } // namespace parsleytrack
--- a/src/units/result.hpp
+++ b/src/units/result.hpp
@@ -8,8 +8,8 @@
 namespace parsleytrack
 {
 
-/// A value or the error that took its place. Reading the wrong one is
-/// undefined: check has_value() first.
+/// A value, or the error of a failed operation. Accessing the one that is not
+/// present is undefined behaviour: check has_value() first.
 template <class Value>
 using result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<
     Value, error, BOOST_OUTCOME_V2_NAMESPACE::policy::all_narrow>;
--- a/src/units/strong_id.hpp
+++ b/src/units/strong_id.hpp
@@ -9,7 +9,7 @@
 namespace parsleytrack
 {
 
-/// A text identifier that cannot be mixed up with one of another kind.
+/// A string identifier that does not convert to identifiers of other kinds.
 ///
 /// \tparam Tag An empty type that names the kind.
 template <class Tag>
@@ -18,13 +18,11 @@
 public:
     strong_id() = default;
 
-    /// \param text The identifier as it stands in settings and messages.
+    /// \param text The identifier as written in settings and messages.
     explicit strong_id(std::string text) : text_value(std::move(text)) {}
 
-    /// \returns The identifier as text.
     const std::string& str() const { return this->text_value; }
 
-    /// \returns Whether no identifier was given.
     bool empty() const { return this->text_value.empty(); }
 
     auto operator<=>(const strong_id&) const = default;
--- a/src/units/strong_number.hpp
+++ b/src/units/strong_number.hpp
@@ -8,7 +8,8 @@
 namespace parsleytrack
 {
 
-/// A number with a unit or a meaning that cannot be mixed up with another.
+/// A number with a unit or a meaning; does not convert to numbers of other
+/// units or meanings.
 ///
 /// \tparam Tag An empty type that names the unit or meaning.
 template <class Tag>
@@ -17,12 +18,12 @@
 public:
     constexpr strong_number() = default;
 
-    /// \param number The count in the unit that Tag names.
+    /// \param number The value, in the unit that Tag names.
     constexpr explicit strong_number(std::int64_t number) : number_value(number)
     {
     }
 
-    /// \returns The count in the unit that Tag names.
+    /// \returns The value, in the unit that Tag names.
     constexpr std::int64_t count() const { return this->number_value; }
 
     constexpr auto operator<=>(const strong_number&) const = default;
@@ -51,7 +52,7 @@
         return left -= right;
     }
 
-    /// \returns The number that follows this one.
+    /// \returns This number plus one.
     constexpr strong_number next() const
     {
         return strong_number(this->number_value + 1);
--- a/src/units/time.hpp
+++ b/src/units/time.hpp
@@ -6,11 +6,11 @@
 namespace parsleytrack
 {
 
-/// The unit in which all decisions measure time.
+/// The unit of time in all decisions.
 using duration = std::chrono::microseconds;
 
-/// Marks time points that are passed in by the caller. They come from a
-/// monotonic clock in the daemon and from a counter in randomised runs.
+/// Clock type of time points that are passed in by the calling code. They come
+/// from a monotonic clock in the daemon and from a counter in simulations.
 struct logical_clock
 {
     using duration = parsleytrack::duration;
@@ -20,11 +20,11 @@
     static constexpr bool is_steady = true;
 };
 
-/// A moment on the clock of one process; means nothing to another process.
+/// A point in time on the clock of one process; not comparable between
+/// processes.
 using time_point = logical_clock::time_point;
 
-/// \param span Any duration.
-/// \returns The duration in whole milliseconds, rounded down.
+/// \returns The duration in whole milliseconds, rounded towards zero.
 constexpr std::int64_t to_milliseconds(duration span)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
--- a/src/units/wall_clock.hpp
+++ b/src/units/wall_clock.hpp
@@ -6,8 +6,9 @@
 namespace parsleytrack
 {
 
-/// \returns Milliseconds since 1970 by the wall clock, which instances share
-/// to within their clock synchronisation. For times that outlive a process.
+/// \returns Wall-clock time in milliseconds since 1970-01-01 UTC. For times
+/// that are used beyond one process; instances agree on it up to the error of
+/// their clock synchronisation.
 inline std::int64_t wall_clock_ms()
 {
     const auto since_epoch =
@@ -16,7 +17,7 @@
         .count();
 }
 
-/// \returns Seconds since 1970 by the wall clock.
+/// \returns Wall-clock time in seconds since 1970-01-01 UTC.
 inline std::int64_t wall_clock_s()
 {
     constexpr std::int64_t milliseconds_per_second = 1000;
--- a/src/units/work_class.hpp
+++ b/src/units/work_class.hpp
@@ -12,8 +12,7 @@
     batch
 };
 
-/// \param kind How urgent the work is.
-/// \returns The name as it stands in metric labels.
+/// \returns The name in metric labels.
 constexpr const char* to_string(work_class kind)
 {
     return kind == work_class::online ? "online" : "batch";
--- a/tests/logging/bounded_sink_test.cpp
+++ b/tests/logging/bounded_sink_test.cpp
@@ -52,7 +52,7 @@
     STRCMP_EQUAL("event=one\n", this->read_some().c_str());
 }
 
-TEST(bounded_sink, never_waits_for_a_reader)
+TEST(bounded_sink, does_not_block_on_a_slow_reader)
 {
     const std::string line(1000, 'x');
     for (int count = 0; count < 500; ++count)
@@ -62,7 +62,7 @@
     CHECK(this->sink->dropped() > 400);
 }
 
-TEST(bounded_sink, bounds_the_rate_and_tells_what_was_dropped)
+TEST(bounded_sink, limits_the_rate_and_reports_dropped_lines)
 {
     CHECK(::fcntl(this->pipe_ends[1], F_SETPIPE_SZ, 1 << 20) > 0);
     for (int count = 0; count < 1500; ++count)
--- a/tests/units/strong_id_test.cpp
+++ b/tests/units/strong_id_test.cpp
@@ -10,20 +10,20 @@
 
 TEST_GROUP(strong_id){};
 
-TEST(strong_id, ids_of_two_kinds_do_not_convert)
+TEST(strong_id, ids_of_different_kinds_do_not_convert)
 {
     static_assert(!std::is_convertible_v<node_id, replica_id>);
     static_assert(!std::is_convertible_v<std::string, node_id>);
     CHECK(node_id("a") < node_id("b"));
 }
 
-TEST(strong_id, every_error_code_has_a_name)
+TEST(strong_id, first_and_last_error_code_have_their_names)
 {
     CHECK(to_string(error_code::bad_request) == "bad_request");
     CHECK(to_string(error_code::internal) == "internal");
 }
 
-TEST(strong_id, numbers_count)
+TEST(strong_id, numbers_add_and_increment)
 {
     LONGS_EQUAL(3, (item_index(1) + item_index(2)).count());
     CHECK(epoch_number(1).next() == epoch_number(2));
