--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -23,8 +23,8 @@
 {
 public:
     /// \param value The object; any other JSON type is a finding.
-    /// \param pointer Location of the object: its JSON pointer, behind the
-    /// document's name.
+    /// \param pointer Location of the object: the document's name, followed by
+    /// a JSON pointer.
     /// \param problems Receives the findings.
     object_reader(const nlohmann::json& value, std::string pointer,
                   findings& problems);
