--- a/src/net/connection_limits.hpp
+++ b/src/net/connection_limits.hpp
@@ -6,19 +6,19 @@
 namespace parsleytrack::net
 {
 
-/// What a server allows a connection. The defaults hold until the owner of the
-/// server sets others.
+/// Limits that a server enforces on each of its connections. The defaults apply
+/// until the owner of the server sets others.
 struct connection_limits
 {
-    /// Longest head of a request; a longer one is answered with 431. As much as
-    /// common servers take.
+    /// Maximum size of a request head; a larger one is answered with 431.
+    /// Common servers accept as much.
     byte_count max_head{64 * 1024};
-    /// Longest time from the first byte of a head to its last, answered with
-    /// 408; zero for "no limit".
+    /// Maximum time from the first to the last byte of a head; a slower request
+    /// is answered with 408. Zero means "no limit".
     duration head_timeout = duration::zero();
-    /// Longest time without a byte between two requests, after which the
-    /// connection is closed, or within a request's body, which is answered
-    /// with 408; zero for "no limit".
+    /// Maximum time without received bytes: between two requests the connection
+    /// is closed, within a request's body the request is answered with 408.
+    /// Zero means "no limit".
     duration idle_timeout = duration::zero();
 };
 
--- a/src/net/error_response.hpp
+++ b/src/net/error_response.hpp
@@ -9,14 +9,14 @@
 {
 
 /// \param reason An error.
-/// \returns The HTTP status that goes with it.
+/// \returns The HTTP status that corresponds to the error code.
 int http_status(const error& reason);
 
 /// \param reason An error.
-/// \returns The JSON body of an error answer.
+/// \returns The JSON body of an error response.
 std::string error_body(const error& reason);
 
-/// Answers with an error, and Retry-After where asking again helps.
+/// Sends an error response, with Retry-After if a retry may succeed.
 ///
 /// \param exchange The request to answer.
 /// \param reason The error.
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -44,7 +44,7 @@
 void call_timer(evutil_socket_t, short, void* argument)
 {
     auto* state = static_cast<timer_state*>(argument);
-    // The callback may destroy the timer, so it is kept alive here.
+    // Keeps the callback alive, since it may destroy its own timer.
     const auto callback = state->callback;
     (*callback)();
 }
@@ -56,7 +56,7 @@
     state->callback =
         std::make_shared<std::function<void()>>(std::move(callback));
     state->handle = event_new(base, descriptor, flags, call_timer, state.get());
-    check_invariant(state->handle != nullptr, "an event can be created");
+    check_invariant(state->handle != nullptr, "event_new() must succeed");
     event_add(state->handle, interval);
     return timer(std::move(state));
 }
@@ -68,7 +68,7 @@
 event_loop::event_loop() : base_handle(event_base_new())
 {
     check_invariant(this->base_handle != nullptr,
-                    "the event loop can be created");
+                    "event_base_new() must succeed");
     this->post_event = event_new(
         this->base(), -1, 0,
         [](evutil_socket_t, short, void* argument)
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -22,7 +22,7 @@
 };
 } // namespace detail
 
-/// The one loop on which all of a process's sockets and timers run.
+/// The event loop that runs all sockets and timers of a process.
 class event_loop
 {
 public:
@@ -34,40 +34,36 @@
     /// Runs until stop() is called.
     void run();
 
-    /// Runs what is ready now, or waits at most a given time for something.
+    /// Runs the callbacks that are ready, or waits for the first one.
     ///
-    /// \param wait The longest time to wait.
+    /// \param wait The maximum time to wait.
     void run_for(duration wait);
 
     /// Makes run() return after the current callback.
     void stop();
 
-    /// \returns The time of the monotonic clock.
+    /// \returns The current time of the monotonic clock.
     static time_point now();
 
     /// Calls a function once, after a delay.
     ///
     /// \param delay The time to wait; zero or less means "as soon as possible".
-    /// \param callback What is called.
     /// \returns The timer; destroying it cancels the call.
     [[nodiscard]] timer call_after(duration delay,
                                    std::function<void()> callback);
 
-    /// Calls a function again and again.
+    /// Calls a function periodically.
     ///
     /// \param interval The time between two calls; above zero.
-    /// \param callback What is called.
     /// \returns The timer; destroying it ends the calls.
     [[nodiscard]] timer call_every(duration interval,
                                    std::function<void()> callback);
 
     /// Calls a function after the current callback has returned.
-    ///
-    /// \param callback What is called.
     void post(std::function<void()> callback);
 
-    /// Frees an object after the current callback has returned, which may be
-    /// one of the object's own.
+    /// Destroys an object after the current callback has returned; the callback
+    /// may belong to the object itself.
     template <class Object>
     void free_later(std::unique_ptr<Object> object)
     {
@@ -75,10 +71,9 @@
                    { kept.reset(); });
     }
 
-    /// Calls a function when a signal arrives.
+    /// Calls a function whenever a signal arrives.
     ///
     /// \param signal_number Such as SIGTERM.
-    /// \param callback What is called.
     /// \returns The registration; destroying it ends the calls.
     [[nodiscard]] timer on_signal(int signal_number,
                                   std::function<void()> callback);
--- a/src/net/http_call.hpp
+++ b/src/net/http_call.hpp
@@ -5,8 +5,8 @@
 namespace parsleytrack::net
 {
 
-/// A request under way. Destroying it cancels the request: the connection is
-/// closed and no callback is called any more.
+/// A request in progress. Destroying it cancels the request: the connection is
+/// closed and no further callback is called.
 class http_call
 {
 public:
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -22,19 +22,22 @@
 class http_transfer;
 } // namespace detail
 
-/// An HTTP/1.1 client on the event loop. It never sends a request twice.
+/// An HTTP/1.1 client on the event loop. It never retries a request.
 class http_client
 {
 public:
-    /// What a caller wants to hear of a request.
+    /// Callbacks for one request.
     struct callbacks
     {
-        /// Status and fields, before the first piece of the body. Optional.
+        /// Called with status and header fields, before the first piece of the
+        /// body. Optional.
         std::function<void(const http_response&)> on_head;
-        /// Each piece of the body. Without it the body is collected.
+        /// Called with each piece of the body. If not set, the body is
+        /// collected in the response.
         std::function<void(std::string_view)> on_piece;
-        /// The end: the answer, or why there is none. An error's `ran` is
-        /// ran_state::no only when the connection could not be opened.
+        /// Called once at the end with the response or an error. The `ran` of
+        /// an error is ran_state::no only if the connection could not be
+        /// opened.
         std::function<void(result<http_response>)> on_end;
     };
 
@@ -45,14 +48,12 @@
 
     /// Sends a request. No callback is called before send() has returned.
     ///
-    /// \param target Where to send it.
-    /// \param request What to send.
-    /// \param hooks Whom to tell.
+    /// \param target The server's address.
     /// \returns The call; destroying it cancels the request.
     [[nodiscard]] std::unique_ptr<http_call>
     send(const endpoint& target, const http_request& request, callbacks hooks);
 
-    /// Called by transfers only.
+    /// For transfers only. Keeps an idle connection for reuse.
     void return_connection(const endpoint& target,
                            std::unique_ptr<detail::http_connection> connection);
     event_loop& loop() { return this->loop_handle; }
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Backstop of the library; the timeouts of a request are shorter.
+/// Upper bound set in libevent; the timeouts of a request are shorter.
 constexpr int connection_timeout_s = 3600;
 
 } // namespace
@@ -20,7 +20,7 @@
                                             target.port))
 {
     check_invariant(this->connection != nullptr,
-                    "an HTTP connection can be created");
+                    "evhttp_connection_base_new() must succeed");
     evhttp_connection_set_timeout(this->connection, connection_timeout_s);
     evhttp_connection_set_retries(this->connection, 0);
 }
--- a/src/net/http_connection.hpp
+++ b/src/net/http_connection.hpp
@@ -17,7 +17,7 @@
     http_connection(const http_connection&) = delete;
     http_connection& operator=(const http_connection&) = delete;
 
-    /// \returns The library's handle.
+    /// \returns The libevent handle; stays owned by this object.
     evhttp_connection* handle() { return this->connection; }
 
 private:
--- a/src/net/http_exchange.cpp
+++ b/src/net/http_exchange.cpp
@@ -175,8 +175,8 @@
         return;
     }
     bufferevent* link = evhtp_request_get_bev(this->request);
-    // Only the socket is shut down: the server then sees the end of the
-    // connection and frees it in its own time.
+    // Only the socket is shut down: the server then gets the end of the
+    // connection as an event and frees the connection outside this call.
     ::shutdown(bufferevent_getfd(link), SHUT_RDWR);
 }
 
@@ -233,7 +233,8 @@
     this->request = nullptr;
     const bool was_waiting = !this->responded;
     this->responded = true;
-    // Callbacks may hold references to this object, so they are let go here.
+    // Callbacks may own references to this object; clearing them breaks the
+    // cycle.
     this->piece_callback = nullptr;
     this->end_callback = nullptr;
     const auto callback = std::move(this->closed_callback);
--- a/src/net/http_exchange.hpp
+++ b/src/net/http_exchange.hpp
@@ -13,72 +13,74 @@
 namespace parsleytrack::net
 {
 
-/// The server's side of one request and its answer. Kept alive by whoever is
-/// going to answer; all calls are harmless once the caller has gone away.
+/// The server side of one request and its response. The handler keeps it alive
+/// until it has responded; all calls are no-ops once the caller has
+/// disconnected.
 class http_exchange : public std::enable_shared_from_this<http_exchange>
 {
 public:
-    /// \param handle The library's request.
-    /// \param request_head What was read of it.
-    /// \param server_closing Whether answers close their connection; looked at
-    /// when an answer begins.
+    /// \param handle The libevhtp request.
+    /// \param request_head The parsed request head.
+    /// \param server_closing Whether responses close their connection; read
+    /// when a response starts.
     http_exchange(evhtp_request* handle, http_request_head request_head,
                   std::shared_ptr<const bool> server_closing);
 
-    /// \returns What the request said before its body.
+    /// \returns Method, path, query and header fields of the request.
     const http_request_head& head() const { return this->request_head; }
 
-    /// Passes each piece of the body on as it arrives. To be called from the
-    /// server's handler; without it the body is collected for on_body().
+    /// Delivers each piece of the body as it arrives. Must be called from the
+    /// server's handler, instead of on_body().
     ///
-    /// \param callback Gets each piece.
+    /// \param callback Called with each piece.
     /// \param on_end Called once the body is complete.
     void stream_body(std::function<void(std::string_view)> callback,
                      std::function<void()> on_end);
 
-    /// Collects the body and passes it on when it is complete. To be called
+    /// Collects the body and delivers it when it is complete. Must be called
     /// from the server's handler.
     ///
-    /// \param limit The most bytes that are kept; more are answered with 413.
-    /// \param callback Gets the whole body.
+    /// \param limit Maximum body size in bytes; a larger body is answered with
+    /// 413.
+    /// \param callback Called with the whole body.
     void on_body(std::size_t limit, std::function<void(std::string)> callback);
 
-    /// Stops and resumes reading the body, for a handler that cannot keep up.
+    /// Stops and resumes reading the body, as back pressure from the handler.
     void pause_body();
     void resume_body();
 
-    /// Answers at once with a whole body. When the request's body is not
-    /// complete, the rest of it is read and dropped first.
+    /// Sends a complete response. If the request's body is not complete yet,
+    /// the rest of it is read and discarded first.
     ///
     /// \param status The HTTP status.
-    /// \param headers Fields beside Content-Length.
-    /// \param body The body.
+    /// \param headers Header fields other than Content-Length.
     void respond(int status, const http_header_list& headers,
                  std::string_view body);
 
-    /// Answers with JSON.
+    /// Sends a complete response of type application/json.
     void respond_json(int status, std::string_view body);
 
-    /// Begins an answer in chunks.
+    /// Starts a response with chunked transfer encoding.
     void start_stream(int status, const http_header_list& headers);
 
-    /// Adds to an answer in chunks.
+    /// Sends one chunk; ignored outside a chunked response.
     void write_chunk(std::string_view data);
 
-    /// Ends an answer in chunks.
+    /// Ends a chunked response.
     void finish_stream();
 
-    /// Breaks the connection off, so that the caller sees that an answer in
-    /// chunks is not whole.
+    /// Shuts the connection down, so that the caller detects that a chunked
+    /// response is incomplete.
     void abort();
 
-    /// \returns Whether the caller is still connected and not answered.
+    /// \returns Whether the caller is still connected and awaits a response.
     bool is_open() const;
 
-    /// \returns Bytes of the answer that the caller has not taken yet.
+    /// \returns Response bytes that are buffered and not yet sent.
     std::size_t pending_output_bytes() const;
 
-    /// \param callback Called once when the caller goes away unanswered.
+    /// \param callback Called once if the caller disconnects before the
+    /// response is complete.
     void on_closed(std::function<void()> callback);
 
     /// Called by the server only.
--- a/src/net/http_header_list.hpp
+++ b/src/net/http_header_list.hpp
@@ -10,11 +10,9 @@
 /// The header fields of a message, in order.
 using http_header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// Finds a header field, without regard to case.
+/// Finds a header field by its case-insensitive name.
 ///
-/// \param headers Where to look.
-/// \param name The field's name.
-/// \returns The first value, or null when there is none.
+/// \returns The value of the first match, or null if there is none.
 const std::string* find_header(const http_header_list& headers,
                                const char* name);
 
--- a/src/net/http_request.hpp
+++ b/src/net/http_request.hpp
@@ -9,7 +9,7 @@
 namespace parsleytrack::net
 {
 
-/// A request that the client is to send.
+/// A request for the HTTP client.
 struct http_request
 {
     /// One of GET, HEAD, POST, PUT, DELETE, PATCH and OPTIONS.
@@ -18,24 +18,24 @@
     std::string target = "/";
     http_header_list headers;
     std::string body;
-    /// Longest time until the answer is complete; zero means "no limit".
+    /// Maximum time until the response is complete; zero means "no limit".
     duration total_timeout = duration::zero();
-    /// Longest time until a new connection is open; zero means "no limit". A
-    /// request whose connection does not open in time was not sent.
+    /// Maximum time to open a new connection; zero means "no limit". A request
+    /// whose connection does not open in time was not sent.
     duration connect_timeout = duration::zero();
-    /// Longest time until the head of the answer; zero means "no limit".
+    /// Maximum time until the response head; zero means "no limit".
     duration head_timeout = duration::zero();
-    /// Longest time between two pieces of the answer; zero means "no limit".
+    /// Maximum time between two pieces of the response; zero means "no limit".
     duration idle_timeout = duration::zero();
-    /// Longest body that is collected; an answer with more is broken off. Twice
-    /// what the store returns at most.
+    /// Maximum size of a collected response body; a larger one fails the
+    /// request. Twice the store's largest response.
     byte_count max_collected_body{2 * 1024 * 1024};
-    /// Whether the connection is probed while nothing comes, so that one that
-    /// has gone silent is noticed; for requests that wait long.
+    /// Whether to enable TCP keepalive, which detects an unreachable peer; for
+    /// requests that wait long for data.
     bool tcp_keepalive = false;
-    /// Whether an idle connection may carry it. A call that must not run twice
-    /// takes a new connection, since then a failed connect is a proof that it
-    /// was not sent.
+    /// Whether an idle connection may be reused. A request that must not run
+    /// twice uses a new connection, because a failed connect then proves that
+    /// the request was not sent.
     bool allow_connection_reuse = true;
 };
 
--- a/src/net/http_request_head.hpp
+++ b/src/net/http_request_head.hpp
@@ -8,16 +8,16 @@
 namespace parsleytrack::net
 {
 
-/// What a request says before its body.
+/// Request line and header fields of a request.
 struct http_request_head
 {
-    /// In capitals, such as "GET".
+    /// In upper case, such as "GET".
     std::string method;
     /// Percent-encoded as received, without the query.
     std::string path;
     /// The query as received, without the question mark.
     std::string raw_query;
-    /// The query's fields, decoded.
+    /// The query's fields, percent-decoded.
     std::map<std::string, std::string> query;
     http_header_list headers;
 };
--- a/src/net/http_response.hpp
+++ b/src/net/http_response.hpp
@@ -7,12 +7,12 @@
 namespace parsleytrack::net
 {
 
-/// The answer to a request of the client.
+/// The response to a request of the HTTP client.
 struct http_response
 {
     int status = 0;
     http_header_list headers;
-    /// Empty when the pieces were passed on one by one.
+    /// Empty if callbacks::on_piece received the body.
     std::string body;
 };
 
--- a/src/net/http_router.cpp
+++ b/src/net/http_router.cpp
@@ -56,8 +56,8 @@
     }
     const error reason{
         path_is_known ? error_code::bad_request : error_code::not_found,
-        path_is_known ? head.path + " does not take " + head.method
-                      : "there is no " + head.path,
+        path_is_known ? head.path + " does not support " + head.method
+                      : "unknown path " + head.path,
         ran_state::no,
         {}};
     respond_error(*exchange, reason);
--- a/src/net/http_router.hpp
+++ b/src/net/http_router.hpp
@@ -10,20 +10,22 @@
 namespace parsleytrack
 {
 
-/// Passes each request on to the module that has asked for its path.
+/// Dispatches each request to the handler registered for its path.
 class http_router
 {
 public:
     using handler =
         std::function<void(const std::shared_ptr<net::http_exchange>&)>;
 
-    /// \param method In capitals; empty stands for every method.
-    /// \param path The path; one that ends in "/" stands for all that begin
-    /// with it. The longest match wins.
-    /// \param callback Gets the requests.
+    /// Registers a handler.
+    ///
+    /// \param method In upper case; empty matches every method.
+    /// \param path An exact path, or a prefix if it ends in "/". The longest
+    /// match wins.
     void add(std::string method, std::string path, handler callback);
 
-    /// Answers a request or passes it on.
+    /// Calls the matching handler, or responds with 404 for an unknown path and
+    /// 400 for an unknown method.
     void dispatch(const std::shared_ptr<net::http_exchange>& exchange) const;
 
 private:
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -27,8 +27,8 @@
 
 constexpr int listen_backlog = 1024;
 
-/// How often connections are held against their limits: a fraction of the
-/// shortest limits in use, which are seconds.
+/// How often connections are checked for timeouts: a fraction of the shortest
+/// timeouts in use, which are seconds.
 constexpr duration timeout_check_interval = std::chrono::milliseconds(250);
 
 evhtp_res on_accepted(evhtp_connection_t* connection, void* argument)
@@ -106,7 +106,7 @@
 void http_server::enforce_timeouts()
 {
     const time_point now = event_loop::now();
-    // A connection that is ended leaves the set.
+    // Iterates over a copy, since a closed connection leaves the set.
     const std::vector<detail::server_connection*> checked(
         this->connections.begin(), this->connections.end());
     for (detail::server_connection* connection : checked)
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -29,8 +29,8 @@
 class http_server
 {
 public:
-    /// Called when a request's head is complete. The handler says what is to
-    /// happen to the body and keeps the exchange until it has answered.
+    /// Called when a request's head is complete. The handler chooses how to
+    /// read the body and keeps the exchange until it has responded.
     using handler = std::function<void(const std::shared_ptr<http_exchange>&)>;
 
     explicit http_server(event_loop& event_loop);
@@ -38,33 +38,32 @@
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Starts to accept connections.
+    /// Starts accepting connections.
     ///
-    /// \param address The address; port 0 takes a free one.
-    /// \returns The port, or error_code::bad_settings when the address cannot
-    /// be used.
+    /// \param address The address; port 0 selects a free port.
+    /// \returns The port, or error_code::bad_settings if the address cannot be
+    /// bound.
     result<std::uint16_t> listen(const endpoint& address);
 
-    /// Closes the listening socket; open connections go on.
+    /// Closes the listening socket; open connections stay open.
     void stop_accepting();
 
-    /// Sets what connections may send and how long they may take, also those
-    /// that are open.
+    /// Sets the limits of new and of already open connections.
     void set_limits(const connection_limits& limits);
 
     const connection_limits& limits() const { return this->current_limits; }
 
-    /// Answers that are not begun yet close their connection, so that callers
-    /// do not send more on it.
+    /// Makes every response that starts from now on close its connection, so
+    /// that callers send no further request on it.
     void close_after_responses() { *this->closing = true; }
 
-    /// \returns Requests that have not been answered to their end.
+    /// \returns Number of requests without a complete response.
     std::size_t open_requests() const { return this->open_request_count; }
 
-    /// \param callback Gets every request.
+    /// \param callback Called for every request.
     void set_handler(handler callback);
 
-    /// Called by connections only.
+    /// For connections only.
     void dispatch(const std::shared_ptr<http_exchange>& exchange);
     void request_ended() { --this->open_request_count; }
     std::shared_ptr<const bool> closing_flag() const { return this->closing; }
--- a/src/net/http_transfer.cpp
+++ b/src/net/http_transfer.cpp
@@ -86,7 +86,7 @@
         {
             this->fail(error_code::deadline_exceeded, this->current_ran_state(),
                        std::string(what) + " of " + to_string(this->target) +
-                           " did not come in time");
+                           " timed out");
         };
     };
     event_loop& loop = this->client.loop();
@@ -95,7 +95,7 @@
     if (request.total_timeout > duration::zero())
     {
         this->total_timer = loop.call_after(request.total_timeout,
-                                            timeout_handler("the answer"));
+                                            timeout_handler("the response"));
     }
     if (request.connect_timeout > duration::zero())
     {
@@ -106,7 +106,7 @@
     if (request.head_timeout > duration::zero())
     {
         this->head_timer = loop.call_after(
-            request.head_timeout, timeout_handler("the answer's head"));
+            request.head_timeout, timeout_handler("the response head"));
     }
     this->idle_timeout = request.idle_timeout;
     this->max_collected_body =
@@ -116,7 +116,7 @@
                             to_command(request.method), request.target.c_str());
     if (outcome != 0)
     {
-        // The library has freed the request.
+        // libevent has freed the request.
         this->active = nullptr;
         loop.post(
             [transfer = this->self]
@@ -173,7 +173,7 @@
     {
         this->fail(error_code::peer_unreachable, ran_state::no,
                    "the connection to " + to_string(this->target) +
-                       " did not open in time");
+                       " timed out while opening");
     }
 }
 
@@ -256,13 +256,14 @@
     if (this->response.body.size() > this->max_collected_body)
     {
         this->fail(error_code::connection_lost, ran_state::unknown,
-                   "the answer of " + to_string(this->target) + " is too long");
+                   "the response of " + to_string(this->target) +
+                       " is too large");
     }
 }
 
 void http_transfer::on_error(evhttp_request_error, void* argument)
 {
-    // The connection was open, so the request may have been read.
+    // The connection was open, so the server may have read the request.
     const auto transfer = static_cast<http_transfer*>(argument)->self;
     if (transfer)
     {
@@ -283,7 +284,7 @@
         transfer->fail(error_code::connection_lost,
                        transfer->current_ran_state(),
                        "the connection to " + to_string(transfer->target) +
-                           " was lost before the end of the answer");
+                           " was lost before the end of the response");
         return;
     }
     if (evhttp_request_get_response_code(request) == 0)
@@ -334,8 +335,8 @@
     this->connect_timer.cancel();
     this->head_timer.cancel();
     this->idle_timer.cancel();
-    // The library may be in the middle of a callback of this connection, so
-    // it is freed or reused only afterwards.
+    // libevent may be inside a callback of this connection, so it is freed or
+    // reused only afterwards.
     this->client.loop().post(
         [transfer = this->self, reusable]
         {
@@ -361,8 +362,8 @@
         [this]
         {
             this->fail(error_code::deadline_exceeded, ran_state::unknown,
-                       "the answer of " + to_string(this->target) +
-                           " has stopped");
+                       "the response of " + to_string(this->target) +
+                           " stalled");
         });
 }
 
--- a/src/net/http_transfer.hpp
+++ b/src/net/http_transfer.hpp
@@ -11,7 +11,7 @@
 namespace parsleytrack::net::detail
 {
 
-/// One request on one connection, from sending to the last callback.
+/// One request on one client connection, from sending to the last callback.
 class http_transfer : public std::enable_shared_from_this<http_transfer>
 {
 public:
@@ -19,10 +19,10 @@
                   std::unique_ptr<http_connection> connection,
                   http_client::callbacks hooks);
 
-    /// Sends the request and sets its timeouts.
+    /// Sends the request and starts its timers.
     void start(const http_request& request);
 
-    /// Closes the connection; no callback follows.
+    /// Closes the connection without calling any further callback.
     void cancel();
 
 private:
@@ -56,14 +56,14 @@
     timer idle_timer;
     evhttp_request* active = nullptr;
     evbuffer_cb_entry* output_watch = nullptr;
-    /// Whether any byte of the request was handed to the connection. The
-    /// library does so only once the connection is open.
+    /// Whether any byte of the request was written to the connection. libevent
+    /// does so only once the connection is open.
     bool sent = false;
     bool tcp_keepalive = false;
     bool head_received = false;
     bool failed = false;
     bool ended = false;
-    // The library still refers to this transfer until its last callback.
+    // libevent refers to this transfer until its last callback.
     std::shared_ptr<http_transfer> self;
 };
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -26,11 +26,11 @@
 constexpr std::string_view request_timeout_response =
     "HTTP/1.1 408 Request Timeout\r\n"
     "Content-Length: 0\r\nConnection: close\r\n\r\n";
-/// How long a connection whose request was refused may stay open, so that the
-/// caller can read the answer before a reset. Several round trips.
+/// How long the connection of a refused request stays open, so that the caller
+/// can read the response before a reset. Several round trips.
 constexpr timeval refused_connection_timeout{1, 0};
 
-/// The library takes hooks of all kinds as one type.
+/// libevhtp declares hooks of all signatures as one type.
 template <class Hook>
 evhtp_hook to_hook(Hook hook)
 {
@@ -134,7 +134,7 @@
 void server_connection::attach(http_server& owner,
                                evhtp_connection_t* connection)
 {
-    // Owned by the library's connection, whose last hook deletes it.
+    // Owned by the libevhtp connection, whose last hook deletes it.
     auto* attached = new server_connection(owner, connection);
     int enabled = 1;
     ::setsockopt(connection->sock, IPPROTO_TCP, TCP_NODELAY, &enabled,
@@ -182,7 +182,8 @@
 {
     if (this->refused && !this->has_request)
     {
-        // The library knows of no request and complains of the answer.
+        // libevhtp has no request here and would report the response as an
+        // error.
         return;
     }
     this->write_callback(this->link, this->callback_argument);
@@ -192,15 +193,15 @@
 {
     if (!this->has_request)
     {
-        // The library takes it for an error and writes so.
+        // libevhtp would log the end of an idle connection as an error.
         this->close();
         return;
     }
     this->event_callback(this->link, events, this->callback_argument);
 }
 
-/// \returns Whether the library may read what has come. Its parser repeats
-/// bytes of a head that it gets in several pieces, so a head is held back
+/// \returns Whether libevhtp may read the buffered input. Its parser duplicates
+/// bytes of a head that arrives in several pieces, so a head is buffered here
 /// until it is complete.
 bool server_connection::may_read()
 {
@@ -275,8 +276,8 @@
 {
     if (this->current)
     {
-        // A second request before the answer to the first: pipelining could
-        // mix up answers, so the connection is closed.
+        // A second request before the response to the first: pipelining could
+        // mix up responses, so the connection is closed.
         return EVHTP_RES_FATAL;
     }
     this->current = std::make_shared<http_exchange>(request, read_head(request),
@@ -330,7 +331,7 @@
 {
     this->end_exchange();
     this->closed = true;
-    // The hook of a request that is under way runs after this one.
+    // The hook of a request in progress runs after this one.
     if (!this->has_request)
     {
         delete this;
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -16,22 +16,22 @@
 namespace detail
 {
 
-/// One connection of a server: hands its requests out and holds its caller to
-/// the server's limits. It frees itself with the library's connection.
+/// One connection of a server: dispatches its requests and enforces the
+/// server's limits. It deletes itself when libevhtp frees the connection.
 class server_connection
 {
 public:
-    /// Takes a connection that was just accepted.
+    /// Creates the object for a newly accepted connection.
     static void attach(http_server& owner, evhtp_connection_t* connection);
 
     ~server_connection();
     server_connection(const server_connection&) = delete;
     server_connection& operator=(const server_connection&) = delete;
 
-    /// Ends the connection if its caller has taken too long.
+    /// Ends the connection if it has exceeded a time limit.
     void enforce_timeouts(time_point now);
 
-    /// Called by the library's hooks only.
+    /// For the libevhtp hooks only.
     void handle_readable();
     void handle_written();
     void handle_event(short events);
@@ -56,16 +56,16 @@
     bufferevent_data_cb write_callback = nullptr;
     bufferevent_event_cb event_callback = nullptr;
     void* callback_argument = nullptr;
-    /// The exchange that has not ended yet.
+    /// The exchange in progress, if any.
     std::shared_ptr<http_exchange> current;
     bool has_request = false;
     bool body_complete = false;
     bool refused = false;
     bool closed = false;
-    /// Bytes of a head that is not complete have come.
+    /// Whether part of a request head has been received.
     bool has_partial_head = false;
-    /// Begin of what is waited for: the next request, the rest of a head, or
-    /// the next piece of a body.
+    /// Since when the connection has waited for the next request, the rest of a
+    /// head, or the next piece of a body.
     time_point waiting_since;
 };
 
--- a/src/net/tcp_keepalive.cpp
+++ b/src/net/tcp_keepalive.cpp
@@ -14,8 +14,9 @@
 namespace
 {
 
-// Seconds of silence before the first probe, seconds between probes, and
-// probes without an answer that end the connection.
+// Idle time before the first probe, time between probes, number of
+// unacknowledged probes that end the connection, and how long sent data may
+// stay unacknowledged.
 constexpr int keepalive_idle_s = 1;
 constexpr int keepalive_interval_s = 1;
 constexpr int keepalive_probe_count = 2;
--- a/src/net/tcp_keepalive.hpp
+++ b/src/net/tcp_keepalive.hpp
@@ -3,8 +3,8 @@
 namespace parsleytrack::net
 {
 
-/// Has the kernel probe a connection while nothing comes, and give it up after
-/// about three seconds of silence.
+/// Enables TCP keepalive, so that the kernel resets the connection after the
+/// peer has been unreachable for about three seconds.
 ///
 /// \param descriptor A connected TCP socket.
 void enable_tcp_keepalive(int descriptor);
--- a/src/net/timer.hpp
+++ b/src/net/timer.hpp
@@ -14,8 +14,8 @@
 };
 } // namespace detail
 
-/// A pending call on the event loop; destroying it cancels the call. It may be
-/// destroyed from within the call.
+/// A pending callback on the event loop; destroying the timer cancels it. The
+/// callback may destroy its own timer.
 class timer
 {
 public:
@@ -28,11 +28,11 @@
     {
     }
 
-    /// Cancels the call, if it is still pending.
+    /// Cancels the callback if it is still pending.
     void cancel() { this->state.reset(); }
 
-    /// \returns Whether a timer was set and not cancelled. Stays true after a
-    /// call that happens once.
+    /// \returns Whether the timer was set and not cancelled. Stays true after a
+    /// one-shot timer has fired.
     bool is_set() const { return this->state != nullptr; }
 
 private:
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr duration max_wait = std::chrono::seconds(5);
 
-/// Opens a port that accepts, reads what comes first and closes.
+/// Listens on a port; each accepted connection is closed after its first read.
 struct closing_listener
 {
     event_loop& loop;
@@ -143,7 +143,7 @@
     STRCMP_EQUAL("rota-llm", seen.c_str());
 }
 
-TEST(http, passes_a_stream_on_in_pieces)
+TEST(http, delivers_a_chunked_response)
 {
     this->server.set_handler(
         [](const std::shared_ptr<http_exchange>& exchange)
@@ -158,7 +158,7 @@
     STRCMP_EQUAL("ab", this->outcome->value().body.c_str());
 }
 
-TEST(http, an_aborted_stream_is_an_error)
+TEST(http, reports_an_aborted_chunked_response_as_an_error)
 {
     this->server.set_handler(
         [](const std::shared_ptr<http_exchange>& exchange)
@@ -173,7 +173,7 @@
     CHECK(this->outcome->error().ran == ran_state::unknown);
 }
 
-TEST(http, tells_the_server_when_the_caller_goes_away)
+TEST(http, notifies_the_handler_when_the_caller_disconnects)
 {
     bool closed = false;
     std::shared_ptr<http_exchange> kept;
@@ -197,7 +197,7 @@
     CHECK(!kept->is_open());
 }
 
-TEST(http, a_refused_connection_has_not_run)
+TEST(http, reports_a_refused_connection_as_not_run)
 {
     this->server.stop_accepting();
     const auto call = this->send({});
@@ -207,7 +207,7 @@
     CHECK(this->outcome->error().ran == ran_state::no);
 }
 
-TEST(http, a_server_that_reads_and_closes_sees_the_request_once)
+TEST(http, does_not_retry_when_the_server_closes_after_reading)
 {
     closing_listener listener(this->loop);
     this->address.port = listener.port;
@@ -220,7 +220,7 @@
     LONGS_EQUAL(1, listener.accepted);
 }
 
-TEST(http, a_silent_server_is_given_up_on)
+TEST(http, times_out_when_the_server_does_not_respond)
 {
     std::shared_ptr<http_exchange> kept;
     this->server.set_handler(
@@ -233,7 +233,7 @@
     CHECK(this->outcome->error().code == error_code::deadline_exceeded);
 }
 
-TEST(http, answers_of_a_closing_server_close_their_connection)
+TEST(http, responses_of_a_closing_server_close_their_connection)
 {
     this->server.set_handler([](const std::shared_ptr<http_exchange>& exchange)
                              { exchange->respond_json(200, "{}"); });
@@ -252,10 +252,11 @@
     LONGS_EQUAL(0, this->server.open_requests());
 }
 
-TEST(http, a_connection_that_was_reset_late_was_not_unopened)
+TEST(http, reports_unknown_when_a_reset_precedes_the_connect_timeout)
 {
-    // The loop is held up until the connect timeout is over, and the server
-    // resets the connection just before the timeout is looked at.
+    // Guards against reporting a request that was sent as not run: the loop is
+    // blocked past the connect timeout, and the server resets the connection
+    // just before the timer fires.
     closing_listener listener(this->loop);
     this->address.port = listener.port;
     http_request request;
@@ -290,7 +291,7 @@
 namespace
 {
 
-/// What a server has read of one request.
+/// One request as the server received it.
 struct received_request
 {
     http_request_head head;
@@ -324,7 +325,7 @@
 {
     received_request seen;
 
-    /// Sends a request in two pieces, cut at each place in turn.
+    /// Sends a request in two pieces, once for each possible split position.
     void send_split(const std::string& text, const std::string& path,
                     const std::string& body)
     {
@@ -387,7 +388,7 @@
                      "/a/b", "the body in three chunks");
 }
 
-TEST(http, refuses_a_head_without_an_end)
+TEST(http, refuses_a_head_over_the_limit)
 {
     const int link = connect_to(this->address);
     std::string text = "GET /x HTTP/1.1\r\n";
