--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -193,7 +193,8 @@
 {
     if (!this->has_request)
     {
-        // libevhtp would log the end of an idle connection as an error.
+        // libevhtp would log the end of a connection without a request as an
+        // error.
         this->close();
         return;
     }
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -8,18 +8,16 @@
 namespace parsleytrack::wire
 {
 
-/// Writes a message in Thrift's compact form. Defined for the messages that
-/// codec.cpp names.
+/// Serializes a message with Thrift's compact protocol. Instantiated for the
+/// messages that the *_codec.cpp files name.
 ///
 /// \tparam Message A struct from the generated code.
-/// \returns The bytes.
 template <class Message>
 std::string encode(const Message& message);
 
-/// Reads a message in Thrift's compact form.
+/// Deserializes a message from Thrift's compact protocol.
 ///
 /// \tparam Message A struct from the generated code.
-/// \param bytes What was received.
 /// \returns The message, or error_code::corrupt_data.
 template <class Message>
 result<Message> decode(std::string_view bytes);
--- a/src/wire/codec_impl.hpp
+++ b/src/wire/codec_impl.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-// For the .cpp files that define encode() and decode() for their messages;
-// not to be included from headers, since it brings Thrift in.
+// For the .cpp files that instantiate encode() and decode() for their messages.
+// Must not be included from headers, since it includes Thrift.
 
 #include "wire/codec.hpp"
 
@@ -20,14 +20,14 @@
 namespace detail
 {
 
-/// Bounds what a damaged length field can make the reader allocate.
+/// Bounds the memory that the reader allocates for a corrupt length field.
 constexpr std::int32_t max_string_bytes = 64 * 1024 * 1024;
 constexpr std::int32_t max_container_elements = 256 * 1024;
 
-/// \param size The size of the message in bytes.
-/// \param upper_limit A limit that holds for every message.
+/// \param size Size of the message in bytes.
+/// \param upper_limit The limit for messages of any size.
 /// \returns The limit for lengths and counts in the message: each element
-/// takes at least one byte. Never 0, which Thrift takes for "no limit".
+/// occupies at least one byte. Never 0, which means "no limit" to Thrift.
 inline std::int32_t length_limit(std::size_t size, std::int32_t upper_limit)
 {
     return static_cast<std::int32_t>(std::clamp<std::size_t>(
@@ -51,7 +51,7 @@
 template <class Message>
 result<Message> decode(std::string_view bytes)
 {
-    // The buffer only reads, but its interface takes a mutable pointer.
+    // TMemoryBuffer only reads the bytes, but requires a mutable pointer.
     auto* data = reinterpret_cast<std::uint8_t*>(
         const_cast<char*>(bytes.data())); // NOLINT
     const auto buffer = std::make_shared<detail::TMemoryBuffer>(
@@ -67,14 +67,14 @@
     catch (const std::exception& failure)
     {
         return error{error_code::corrupt_data,
-                     std::string("a message cannot be read: ") + failure.what(),
+                     std::string("cannot decode message: ") + failure.what(),
                      ran_state::no,
                      {}};
     }
     return message;
 }
 
-/// Defines encode() and decode() for one message.
+/// Instantiates encode() and decode() for one message.
 #define PARSLEYTRACK_DEFINE_CODEC(Message)                                     \
     template std::string encode<Message>(const Message&);                      \
     template result<Message> decode<Message>(std::string_view);
--- a/src/wire/directory.thrift
+++ b/src/wire/directory.thrift
@@ -1,4 +1,4 @@
-// The platform's list of backend servers, passed on between nodes.
+// The platform's list of backend servers, as exchanged between nodes.
 
 namespace cpp parsleytrack.wire
 
@@ -12,7 +12,7 @@
 }
 
 struct directory_reply {
-  // False when the node has not read the list yet.
+  // False if the node has not read the list yet.
   1: bool known;
   2: i64 revision;
   3: list<listed_replica> replicas;
--- a/src/wire/failure_conversion.hpp
+++ b/src/wire/failure_conversion.hpp
@@ -8,13 +8,12 @@
 namespace parsleytrack::wire
 {
 
-/// \param reason Any error.
 /// \returns The payload of a frame of kind "failure".
 std::string encode_failure(const error& reason);
 
 /// \param payload The payload of a frame of kind "failure".
-/// \returns The error; error_code::internal with ran_state::unknown where the
-/// payload cannot be read.
+/// \returns The error; error_code::internal with ran_state::unknown if the
+/// payload cannot be decoded.
 error decode_failure(std::string_view payload);
 
 } // namespace parsleytrack::wire
--- a/src/wire/feed.thrift
+++ b/src/wire/feed.thrift
@@ -1,12 +1,12 @@
-// Between a node that follows records of the platform's store and one that
-// follows them through it.
+// Messages between a node that follows records of the platform's store and a
+// node that follows them through it.
 namespace cpp parsleytrack.wire
 
-// Opens a call of type record_feed. It stays open for as long as the records
-// are wanted.
+// Request of a record_feed call, which stays open as long as the client follows
+// the records.
 struct feed_question {
   1: string prefix;
-  // The store's revision up to which the asker is complete; 0 for nothing.
+  // The store's revision up to which the client has all records; 0 for none.
   2: i64 position;
 }
 
@@ -20,15 +20,16 @@
 enum feed_part_kind {
   // All records.
   all = 1,
-  // What has changed since the last part.
+  // Records changed since the last part.
   changes = 2,
-  // Nothing has; shows that the sender lives and the store can be reached.
+  // No change; a heartbeat that shows that the sender is live and reaches the
+  // store.
   unchanged = 3,
-  // The sender does not reach the store.
+  // The sender cannot reach the store.
   failing = 4,
 }
 
-// Each piece of the answer to a feed_question.
+// One part of the response to a feed_question.
 struct feed_part {
   1: feed_part_kind kind;
   2: list<feed_record> records;
--- a/src/wire/gate.thrift
+++ b/src/wire/gate.thrift
@@ -1,4 +1,4 @@
-// Between an entry node and the gate of a replica.
+// Messages between an entry node and the gate of a replica.
 
 namespace cpp parsleytrack.wire
 
@@ -7,7 +7,7 @@
   2: string value;
 }
 
-// Opens a call of type gate_forward.
+// Request of a gate_forward call.
 struct forward_order {
   1: string request;
   2: string service_name;
@@ -21,39 +21,41 @@
   9: i64 time_left_ms;
   // The first attempt is 1.
   10: i32 attempt;
-  // Not to be sent over a connection that may be closing: a failed connect
-  // must prove that nothing was sent.
+  // Requires a new connection, since a reused one may be closing: a failed
+  // connect must prove that nothing was sent.
   11: bool send_once;
-  // Hashes of the prompt's blocks, as an engine's cache events name them.
+  // Hashes of the prompt's blocks, as in an engine's cache events.
   12: list<i64> prefix_hashes;
-  // Whether the first piece is due in time, rather than the whole answer.
+  // Whether the deadline applies to the first part of the response rather than
+  // to the whole response.
   13: bool stream;
-  // To be refused rather than queued: another replica may have a free slot.
+  // Refuse the request instead of queueing it: another replica may have a free
+  // slot.
   14: bool may_pass_back;
 }
 
-// The state of one replica, in units that fit a byte or two.
+// Load of one replica, in small integers to keep the encoding short.
 struct replica_load {
   // Hash of the replica's id.
   1: i32 replica;
   2: i16 slots;
   3: i16 online_running;
   4: i16 batch_running;
-  // Online requests that a new one would wait for.
+  // Online requests queued ahead of a new one.
   5: i16 online_ahead;
-  // Time until a new request would give its first output.
+  // Predicted time until a new request produces its first output.
   6: i32 predicted_ms;
-  // Time from sending to the first output, measured lately.
+  // Recently measured time from sending to the first output.
   7: i32 first_output_ms;
   8: bool usable;
 }
 
-// What a node tells the others of the replicas that it is the gate of.
+// Loads of the replicas whose gate a node is, published to other nodes.
 struct replica_load_list {
   1: list<replica_load> replicas;
 }
 
-// First piece of the answer to a forward_order; the others are the body.
+// First part of the response to a forward_order; the other parts are the body.
 struct forward_head {
   1: i32 status;
   2: list<header_field> headers;
--- a/src/wire/job.thrift
+++ b/src/wire/job.thrift
@@ -1,5 +1,5 @@
 // Records of jobs and lots in the platform's store, their bulk segments, and
-// what nodes tell each other of them.
+// notifications about them between nodes.
 
 namespace cpp parsleytrack.wire
 
@@ -15,9 +15,9 @@
 
 struct job_record {
   1: string workspace;
-  // Stands for the body that was submitted.
+  // Identifies the submitted body.
   2: string fingerprint;
-  // By the wall clock.
+  // Wall clock time.
   3: i64 deadline_ms;
   4: i64 created_ms;
   5: i32 items;
@@ -35,7 +35,7 @@
   4: i64 commit_number;
   5: list<placement> results;
   6: i32 items;
-  // One bit an item, the lowest bit first.
+  // One bit per item, lowest bit first.
   7: binary ended;
   8: binary intended;
 }
@@ -58,11 +58,11 @@
 struct stored_result {
   1: i32 index;
   2: string custom_id;
-  // parsleytrack::item_status by its number.
+  // Numeric value of parsleytrack::item_status.
   3: i32 status;
   4: i32 http_status;
   5: binary body;
-  // parsleytrack::error_code by its name.
+  // Name of the parsleytrack::error_code.
   6: string reason;
   7: string message;
 }
@@ -74,7 +74,7 @@
 enum nudge_kind {
   // To the coordinator: a job was accepted.
   job_accepted = 1,
-  // To a node: it should own these lots.
+  // To a node: take ownership of these lots.
   own_lots = 2,
   // To the coordinator: all items of these lots have ended.
   lots_ended = 3,
--- a/src/wire/membership.thrift
+++ b/src/wire/membership.thrift
@@ -1,4 +1,4 @@
-// Datagrams of the membership and the full exchange of views.
+// Membership datagrams and the full view exchange.
 
 namespace cpp parsleytrack.wire
 
@@ -22,7 +22,7 @@
   11: bool keeper;
   // Thousandths of a core.
   12: i32 capacity;
-  // Incarnation with which the node's process started.
+  // The incarnation at which the node's process started.
   13: i64 started_as;
 }
 
@@ -43,7 +43,7 @@
 
 struct membership_datagram {
   1: datagram_kind kind;
-  // Ties an acknowledgement to its probe.
+  // Matches an acknowledgement to its probe.
   2: i64 sequence;
   3: string region;
   4: string sender;
@@ -55,21 +55,21 @@
   9: list<board_value> items;
 }
 
-// Names the newest value of a topic that a node holds of another.
+// Version of the newest value that a node holds for a topic and a node.
 struct held_value {
   1: string topic;
   2: string node;
   3: i64 version;
 }
 
-// Either half of a full exchange.
+// Request or response of a full view exchange.
 struct view {
   1: string region;
   2: string sender;
   3: list<member> members;
-  // In a request: what the sender holds of the board.
+  // In a request: versions of the board values that the sender holds.
   4: list<held_value> known;
-  // In an answer: what the other side does not hold yet.
+  // In a response: board values that the requester does not hold yet.
   5: list<board_value> items;
 }
 
@@ -78,7 +78,7 @@
   2: i32 port;
 }
 
-// What other regions learn of a region.
+// Summary of a region for other regions.
 struct region_state {
   1: string region;
   2: i64 version;
--- a/src/wire/node_jobs.thrift
+++ b/src/wire/node_jobs.thrift
@@ -35,7 +35,7 @@
 struct node_job_state {
   1: string job;
   2: string route_name;
-  // Node that runs the job, and which life of it.
+  // Node that runs the job, and its incarnation.
   3: string owner;
   4: i64 owner_life;
   5: bool cancelled;
@@ -43,7 +43,7 @@
   // Unix milliseconds.
   7: i64 submitted_at_ms;
   8: i32 item_count;
-  // Tokens that the route's usage counts for the job.
+  // The job's tokens that count towards the route's usage.
   9: i64 waiting_tokens;
 }
 
@@ -52,7 +52,7 @@
   1: i64 waiting_tokens;
 }
 
-// What has been received of an item that has no outcome.
+// Output received so far for an item without an outcome.
 struct node_job_partial {
   1: i32 item;
   2: i64 last_event;
@@ -63,7 +63,7 @@
   1: list<node_job_partial> items;
 }
 
-// Call of type node_job_read, to the owner.
+// Request of a node_job_read call, to the owner.
 struct node_job_read {
   1: string job;
   2: i32 after;
@@ -81,15 +81,15 @@
   2: list<node_job_result> results;
 }
 
-// Call of type node_job_handover, from the node that accepted the job to the
-// one that is to run it.
+// Request of a node_job_handover call, from the node that accepted the job to
+// the node that will run it.
 struct node_job_handover {
   1: binary input;
   2: binary state;
   3: i64 revision;
 }
 
-// Call of type node_job_news: the job's record was changed by another node.
+// Request of a node_job_news call: another node changed the job's record.
 struct node_job_news {
   1: string job;
 }
--- a/src/wire/once.thrift
+++ b/src/wire/once.thrift
@@ -1,5 +1,5 @@
-// Calls that must not run twice: pages in the platform's store, and
-// operations that one node has another carry out.
+// At-most-once calls: pages in the platform's store, and operations that one
+// node requests from another.
 
 namespace cpp parsleytrack.wire
 
@@ -8,7 +8,7 @@
   2: i64 claim;
   3: string holder;
   4: i64 created_s;
-  // parsleytrack::once_entry::stage by its number.
+  // Numeric value of parsleytrack::once_entry::stage.
   5: i32 stage;
   6: i32 status;
   7: string content_type;
@@ -22,14 +22,14 @@
 }
 
 struct once_request {
-  // parsleytrack::once_operation::kind by its number.
+  // Numeric value of parsleytrack::once_operation::kind.
   1: i32 kind;
   2: string key;
   3: once_record entry;
 }
 
 struct once_reply {
-  // parsleytrack::once_outcome::kind by its number.
+  // Numeric value of parsleytrack::once_outcome::kind.
   1: i32 kind;
   2: once_record entry;
 }
--- a/src/wire/peer_call.hpp
+++ b/src/wire/peer_call.hpp
@@ -6,8 +6,8 @@
 namespace parsleytrack::wire
 {
 
-/// A call to another node under way. Destroying it cancels the call; no
-/// callback is called any more.
+/// A call to another node in progress. Destroying it cancels the call; no
+/// further callback is called.
 class peer_call
 {
 public:
--- a/src/wire/peer_connection.cpp
+++ b/src/wire/peer_connection.cpp
@@ -138,7 +138,7 @@
         length = ntohl(length);
         if (length > max_frame_bytes)
         {
-            this->close("a frame is too long");
+            this->close("received a frame over the size limit");
             return;
         }
         if (evbuffer_get_length(input) < length_prefix_bytes + length)
@@ -215,7 +215,7 @@
         this->finish_call(call_id, decode_failure(message.payload));
         return;
     }
-    this->close("a frame is of no known kind");
+    this->close("received a frame of unknown kind");
 }
 
 void peer_connection::open_exchange(frame message)
@@ -265,7 +265,7 @@
             this->send(message);
             this->finish_call(call_id, error{error_code::deadline_exceeded,
                                              "node " + this->peer_address +
-                                                 " did not answer in time",
+                                                 " did not respond in time",
                                              ran_state::unknown,
                                              {}});
         });
@@ -301,7 +301,7 @@
     {
         this->finish_call(call_id, reason);
     }
-    // The link is freed outside of its own callback.
+    // Frees the bufferevent outside of its own callback.
     this->network.loop().post([self] { self->link.reset(); });
 }
 
--- a/src/wire/peer_connection.hpp
+++ b/src/wire/peer_connection.hpp
@@ -24,34 +24,36 @@
     void operator()(bufferevent* link) const;
 };
 
-/// One TCP connection between two nodes, carrying many calls at once.
+/// One TCP connection between two nodes that multiplexes calls.
 class peer_connection : public std::enable_shared_from_this<peer_connection>
 {
 public:
     /// \param network The owner.
-    /// \param descriptor An accepted socket, or -1 for one to be connected.
+    /// \param descriptor An accepted socket, or -1 if connect() will follow.
     peer_connection(peer_network& network, int descriptor);
 
-    /// Begins to connect; frames wait until the connection is open.
+    /// Starts to connect; frames are buffered until the connection is open.
     void connect(const endpoint& target);
 
-    /// Opens a call; see peer_network::call().
+    /// Sends a request; see peer_network::call().
+    ///
+    /// \returns The call's id.
     std::int64_t open_call(message_type type, std::string_view payload,
                            duration timeout, peer_network::callbacks hooks);
 
-    /// Forgets a call and tells the other side.
+    /// Removes a call and sends a cancel frame.
     void cancel_call(std::int64_t call_id);
 
     /// Writes one frame.
     void send(const frame& message);
 
-    /// Closes the connection and fails all its calls.
+    /// Closes the connection, fails its calls and cancels its exchanges.
     void close(const std::string& why);
 
-    /// The call has been answered by this side.
+    /// Removes an incoming call whose response is complete.
     void remove_exchange(std::int64_t call_id);
 
-    /// \returns Bytes that wait to be sent.
+    /// \returns Bytes that are buffered and not yet sent.
     std::size_t pending_output_bytes() const;
 
 private:
--- a/src/wire/peer_exchange.hpp
+++ b/src/wire/peer_exchange.hpp
@@ -16,36 +16,36 @@
 class peer_connection;
 }
 
-/// The answering side of one call from another node. Kept alive by whoever is
-/// going to answer; all calls are harmless once the caller has gone away.
+/// The server side of one call from another node. The handler keeps it alive
+/// until it has responded; all calls are no-ops once the caller is gone.
 class peer_exchange
 {
 public:
     peer_exchange(std::weak_ptr<detail::peer_connection> link, std::int64_t id,
                   std::string request_payload);
 
-    /// \returns The request's bytes.
+    /// \returns The request's payload.
     const std::string& request() const { return this->payload; }
 
-    /// Sends one piece of the answer.
+    /// Sends one part of the response.
     void send_part(std::string_view part);
 
-    /// Sends the last piece of the answer.
+    /// Sends the last part of the response.
     void finish(std::string_view last);
 
-    /// Answers with an error.
+    /// Ends the response with an error.
     void fail(const error& reason);
 
-    /// \returns Whether the caller still waits.
+    /// \returns Whether the caller still awaits the response.
     bool is_open() const { return !this->ended; }
 
-    /// \returns Bytes on the way to the caller that it has not taken yet.
+    /// \returns Bytes buffered on the caller's connection and not yet sent.
     std::size_t pending_output_bytes() const;
 
-    /// \param callback Called once when the caller cancels or goes away.
+    /// \param callback Called once if the caller cancels or disconnects.
     void on_cancelled(std::function<void()> callback);
 
-    /// Called by the connection only.
+    /// For the connection only.
     void handle_cancel();
 
 private:
--- a/src/wire/peer_lane.hpp
+++ b/src/wire/peer_lane.hpp
@@ -5,18 +5,19 @@
 namespace parsleytrack::wire
 {
 
-/// Which of the connections between two nodes a call uses. Each has its own,
-/// so that an online answer never waits behind a bulk transfer.
+/// Selects the connection between two nodes that a call uses. Each lane has its
+/// own connection, so that an online response never waits behind a bulk
+/// transfer.
 enum class peer_lane
 {
-    /// Membership, online requests, release notes, at-most-once calls.
+    /// Membership, online requests, releases, at-most-once calls and all other
+    /// types.
     interactive,
-    /// Batch items and results, segments, jobs.
+    /// Batch items and results, segments, record copies, jobs.
     bulk
 };
 
-/// \param type Which request it is.
-/// \returns The lane that carries it.
+/// \returns The lane that carries requests of a type.
 peer_lane lane_of(message_type type);
 
 } // namespace parsleytrack::wire
--- a/src/wire/peer_network.cpp
+++ b/src/wire/peer_network.cpp
@@ -83,7 +83,7 @@
 
 result<std::uint16_t> peer_network::listen(const endpoint& address)
 {
-    // A free UDP port may be in use over TCP, so another one is taken then.
+    // A free UDP port may be in use for TCP; then another port is tried.
     const int attempts = address.port == 0 ? free_port_attempts : 1;
     result<std::uint16_t> port = this->try_listen(address);
     for (int attempt = 1; attempt < attempts && port.has_error(); ++attempt)
@@ -219,7 +219,7 @@
     if (found == this->handlers.end())
     {
         exchange->fail(error{error_code::bad_request,
-                             "this node does not know the request",
+                             "this node does not support the request type",
                              ran_state::no,
                              {}});
         return;
--- a/src/wire/peer_network.hpp
+++ b/src/wire/peer_network.hpp
@@ -32,30 +32,31 @@
 };
 } // namespace detail
 
-/// Calls and datagrams between nodes: Thrift frames over TCP, and small
-/// packets over UDP on the same port number.
+/// Calls and datagrams between nodes: Thrift frames over TCP, and datagrams
+/// over UDP on the same port number.
 class peer_network
 {
 public:
-    /// Gets one call; keeps the exchange until it has answered.
+    /// Handles one call; keeps the exchange until it has responded.
     using call_handler =
         std::function<void(const std::shared_ptr<peer_exchange>&)>;
-    /// Gets one datagram and the address it came from.
+    /// Handles one datagram; `from` is the sender's address.
     using datagram_handler =
         std::function<void(const endpoint& from, std::string_view bytes)>;
 
-    /// What a caller wants to hear of a call.
+    /// Callbacks for one call.
     struct callbacks
     {
-        /// Each piece of the answer but the last. Optional.
+        /// Called with each part of the response except the last. Optional.
         std::function<void(std::string)> on_part;
-        /// The last piece, or why there is none. An error's `ran` is
-        /// ran_state::no when the request was not sent, and otherwise what the
-        /// other node says of it.
+        /// Called once at the end with the last part or an error. The `ran` of
+        /// an error is ran_state::no if the request was not sent, as reported
+        /// by the other node if it failed the call, and otherwise
+        /// ran_state::unknown.
         std::function<void(result<std::string>)> on_end;
     };
 
-    /// Bytes in and out, for metrics.
+    /// Bytes sent and received, for metrics.
     struct traffic
     {
         std::uint64_t datagram_bytes_sent = 0;
@@ -71,46 +72,44 @@
 
     /// Opens the TCP and the UDP port.
     ///
-    /// \param address The address; port 0 takes a free one.
+    /// \param address The address; port 0 selects a free port.
     /// \returns The port, or error_code::bad_settings.
     result<std::uint16_t> listen(const endpoint& address);
 
-    /// \param type Which calls the handler gets.
-    /// \param handler Replaces an earlier one.
+    /// Sets the handler for calls of a type, replacing any earlier one.
     void on_call(message_type type, call_handler handler);
 
-    /// \param handler Gets all datagrams.
+    /// \param handler Called for every datagram, replacing any earlier one.
     void on_datagram(datagram_handler handler);
 
     /// Calls another node. No callback is called before call() has returned.
     ///
     /// \param target The node's peer address.
-    /// \param type Which request it is.
-    /// \param payload The request's bytes.
-    /// \param timeout Longest time to wait for each piece of the answer; zero
+    /// \param payload The encoded request.
+    /// \param timeout Maximum time to wait for each part of the response; zero
     /// means "no limit".
-    /// \param hooks Whom to tell.
     /// \returns The call; destroying it cancels it.
     [[nodiscard]] std::unique_ptr<peer_call>
     call(const endpoint& target, message_type type, std::string_view payload,
          duration timeout, callbacks hooks);
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram; delivery is not guaranteed.
     ///
     /// \param target The node's peer address.
     /// \param bytes At most max_datagram_bytes.
     void send_datagram(const endpoint& target, std::string_view bytes);
 
-    /// Fails all calls to a node at once; for a node that is known to be dead.
+    /// Closes the connections to a node that is known to be dead, which fails
+    /// all calls to it.
     void drop_peer(const endpoint& target);
 
-    /// \returns Bytes in and out so far.
+    /// \returns Bytes sent and received since the start.
     const traffic& counters() const { return this->traffic_counters; }
 
     /// Largest datagram that fits one Ethernet frame.
     static constexpr std::size_t max_datagram_bytes = 1400;
 
-    /// Called by connections only.
+    /// For connections only.
     void dispatch(message_type type,
                   const std::shared_ptr<peer_exchange>& exchange);
     void handle_connection_closed(detail::peer_connection& connection);
--- a/src/wire/release.thrift
+++ b/src/wire/release.thrift
@@ -1,20 +1,20 @@
-// The release in force, passed on between nodes.
+// The current release, as exchanged between nodes.
 
 namespace cpp parsleytrack.wire
 
 struct release_reply {
-  // 0 when the node knows no release.
+  // 0 if the node knows no release.
   1: i64 version;
-  // The record as it stands in the platform's store.
+  // The record as stored in the platform's store.
   2: binary record;
 }
 
-// What keeps an engine from having what the release says.
+// Remaining differences between an engine and the release.
 struct engine_progress {
   1: string replica;
   2: list<string> to_load;
   3: list<string> to_unload;
-  // Empty when the orders are under way.
+  // What blocks the changes; empty if they are in progress.
   4: string waits_for;
 }
 
--- a/src/wire/slots.thrift
+++ b/src/wire/slots.thrift
@@ -1,52 +1,52 @@
-// Between a node that wants to use a replica's slot and the broker of the
+// Messages between a node that requests a replica's slot and the broker of the
 // service.
 namespace cpp parsleytrack.wire
 
-// Opens a call of type slot_request. The call stays open for as long as the
-// slot is wanted or used.
+// Request of a slot_request call. The call stays open as long as the node waits
+// for the slot or uses it.
 struct slot_order {
   1: string request;
   2: string service_name;
   // Routing priority; 0 is the most urgent.
   3: i32 priority;
   4: bool batch;
-  // Time until the slot is of no use any more.
+  // Time until a grant is useless to the requester.
   5: i64 useful_for_ms;
-  // Replicas that are not to be granted.
+  // Replicas that must not be granted.
   6: list<string> excluded;
   7: string availability_zone;
-  // Set when the slot is in use already, granted by another broker.
+  // Set if the slot is already in use, granted by another broker.
   8: string held_replica;
-  // A slot is wanted even when the answer will be late.
+  // Keep waiting for a slot even if the response will be late.
   9: bool wait_when_late;
-  // Which part of the service's replicas is asked for.
+  // The pool of the service's replicas to grant from.
   10: i32 pool;
 }
 
 enum slot_verdict {
   granted = 1,
   refused = 2,
-  // The holder is to give the slot back at once.
+  // The holder must release the slot immediately.
   reclaimed = 3,
-  // The order waits; shows that the broker lives.
+  // The slot request is queued; a heartbeat that shows that the broker is live.
   queued = 4,
 }
 
-// Each piece of the answer to a slot_order.
+// One part of the response to a slot_order.
 struct slot_answer {
   1: slot_verdict verdict;
   2: string replica;
-  // Refused: when asking again may help.
+  // For "refused": when a retry may succeed.
   3: i64 retry_after_ms;
-  // Slots of the pool that are free, less the orders that wait.
+  // Free slots of the pool minus queued slot requests.
   4: i32 spare;
 }
 
-// Opens a call of type slot_report: a request has failed at its replica.
+// Request of a slot_report call: a request failed at its replica.
 struct replica_report {
   1: string request;
   2: string service_name;
   3: string replica;
-  // Says itself that it is leaving, or is another one.
+  // The replica reported that it is leaving or is a different replica.
   4: bool leaving;
 }
--- a/src/wire/storage.thrift
+++ b/src/wire/storage.thrift
@@ -1,4 +1,5 @@
-// To and between keepers: bulk segments, and copies of records of the store.
+// Messages to and between keepers: bulk segments, and copies of the store's
+// records.
 
 namespace cpp parsleytrack.wire
 
@@ -11,7 +12,7 @@
   1: string id;
 }
 
-// Which of these does the keeper not have?
+// Request: segments to look up. Response: those that the keeper does not have.
 struct segment_name_list {
   1: list<string> ids;
 }
--- a/tests/wire/peer_network_test.cpp
+++ b/tests/wire/peer_network_test.cpp
@@ -62,7 +62,7 @@
     }
 };
 
-TEST(peer_network, answers_in_parts)
+TEST(peer_network, delivers_a_response_in_parts)
 {
     this->callee.on_call(any_type,
                          [](const std::shared_ptr<peer_exchange>& exchange)
@@ -77,7 +77,7 @@
     STRCMP_EQUAL("ask", this->outcome->value().c_str());
 }
 
-TEST(peer_network, carries_errors)
+TEST(peer_network, transmits_errors)
 {
     this->callee.on_call(any_type,
                          [](const std::shared_ptr<peer_exchange>& exchange)
@@ -93,7 +93,7 @@
     CHECK(*this->outcome->error().retry_after == std::chrono::seconds(2));
 }
 
-TEST(peer_network, tells_the_other_side_of_a_cancel)
+TEST(peer_network, notifies_the_callee_of_a_cancel)
 {
     bool cancelled = false;
     std::shared_ptr<peer_exchange> kept;
@@ -110,7 +110,7 @@
     CHECK(!kept->is_open());
 }
 
-TEST(peer_network, a_call_that_was_not_sent_has_not_run)
+TEST(peer_network, reports_a_refused_connection_as_not_run)
 {
     this->address.port = 1;
     const auto pending = this->call();
@@ -119,7 +119,7 @@
     CHECK(this->outcome->error().ran == ran_state::no);
 }
 
-TEST(peer_network, a_dropped_peer_fails_its_calls_as_unknown)
+TEST(peer_network, dropping_a_peer_fails_its_calls_as_unknown)
 {
     std::shared_ptr<peer_exchange> kept;
     this->callee.on_call(any_type,
@@ -132,7 +132,7 @@
     CHECK(this->outcome->error().ran == ran_state::unknown);
 }
 
-TEST(peer_network, a_silent_peer_is_given_up_on)
+TEST(peer_network, times_out_when_the_peer_does_not_respond)
 {
     std::shared_ptr<peer_exchange> kept;
     this->callee.on_call(any_type,
@@ -144,7 +144,7 @@
     this->run_until([&] { return !kept->is_open(); });
 }
 
-TEST(peer_network, datagrams_arrive)
+TEST(peer_network, delivers_datagrams)
 {
     std::string seen;
     this->callee.on_datagram([&](const endpoint&, std::string_view bytes)
@@ -155,7 +155,7 @@
     STRCMP_EQUAL("ping", seen.c_str());
 }
 
-TEST(peer_network, an_online_answer_does_not_wait_behind_a_bulk_transfer)
+TEST(peer_network, an_online_response_does_not_wait_for_a_bulk_transfer)
 {
     constexpr std::size_t bulk_bytes = 16 * 1024 * 1024;
     bool bulk_ended = false;
