--- a/src/net/http_exchange.hpp
+++ b/src/net/http_exchange.hpp
@@ -45,7 +45,8 @@
     /// \param callback Called with the whole body.
     void on_body(std::size_t limit, std::function<void(std::string)> callback);
 
-    /// Stops and resumes reading the body, as back pressure from the handler.
+    /// Pauses and resumes reading the body, to apply back pressure to the
+    /// caller.
     void pause_body();
     void resume_body();
 
@@ -73,14 +74,15 @@
     /// response is incomplete.
     void abort();
 
-    /// \returns Whether the caller is still connected and awaits a response.
+    /// \returns Whether the caller is connected and the response is not
+    /// finished.
     bool is_open() const;
 
     /// \returns Response bytes that are buffered and not yet sent.
     std::size_t pending_output_bytes() const;
 
     /// \param callback Called once if the caller disconnects before the
-    /// response is complete.
+    /// handler has finished responding.
     void on_closed(std::function<void()> callback);
 
     /// Called by the server only.
