--- a/src/key_value/backoff.hpp
+++ b/src/key_value/backoff.hpp
@@ -6,19 +6,22 @@
 namespace parsleytrack::key_value
 {
 
-/// Delays that double after each failure, with jitter, so that many nodes that
-/// failed at the same moment do not come back at the same moment.
+/// Exponential backoff with jitter, so that many nodes that failed at the same
+/// moment do not retry at the same moment.
 class backoff
 {
 public:
-    /// \param first The longest first delay.
-    /// \param limit The longest delay of all.
+    /// \param initial_delay Upper bound of the first delay.
+    /// \param max_delay Upper bound of every later delay.
     backoff(duration initial_delay, duration max_delay);
 
-    /// \returns The next delay, between half of the step and the whole step.
+    /// Doubles the upper bound for the call after this one.
+    ///
+    /// \returns A random delay between half of the current upper bound and all
+    /// of it.
     duration next_delay(random_source& random);
 
-    /// Starts over after a success.
+    /// Returns to the initial delay after a success.
     void reset() { this->current_delay = this->initial_delay; }
 
 private:
--- a/src/key_value/base64.hpp
+++ b/src/key_value/base64.hpp
@@ -7,12 +7,11 @@
 namespace parsleytrack::key_value
 {
 
-/// \param bytes Any bytes.
-/// \returns Their base64 form, with padding.
+/// \returns The bytes in base64, with padding.
 std::string encode_base64(std::string_view bytes);
 
 /// \param text Base64, with or without padding.
-/// \returns The bytes; nothing when the text is not base64.
+/// \returns The decoded bytes; nothing when the text is not base64.
 std::optional<std::string> decode_base64(std::string_view text);
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/call_counts.hpp
+++ b/src/key_value/call_counts.hpp
@@ -5,15 +5,16 @@
 namespace parsleytrack::key_value
 {
 
-/// Calls that were made to the store, copies of lost ones included.
+/// Number of calls sent to the store, retries included.
 struct call_counts
 {
     std::uint64_t reads = 0;
-    /// Reads that may be seconds old; they cost the store a tenth.
+    /// Reads whose data may be seconds old; they cost the store a tenth of a
+    /// consistent read.
     std::uint64_t stale_reads = 0;
     std::uint64_t watches = 0;
     std::uint64_t commits = 0;
-    /// Calls of all kinds that were refused or not answered.
+    /// Calls of any kind that were rejected or got no response.
     std::uint64_t failures = 0;
 };
 
--- a/src/key_value/call_outcome.cpp
+++ b/src/key_value/call_outcome.cpp
@@ -33,8 +33,8 @@
                                 : call_outcome::status_kind::rejected;
     outcome.reason.code =
         is_unknown ? error_code::store_unavailable : error_code::bad_request;
-    outcome.reason.message =
-        "the store answered " + std::to_string(response.status);
+    outcome.reason.message = "the store responded with HTTP status " +
+                             std::to_string(response.status);
     return outcome;
 }
 
--- a/src/key_value/call_outcome.hpp
+++ b/src/key_value/call_outcome.hpp
@@ -9,29 +9,29 @@
 namespace parsleytrack::key_value::detail
 {
 
-/// How one HTTP call to the store ended.
+/// The outcome of one HTTP call to the store.
 struct call_outcome
 {
     enum class status_kind
     {
-        /// Answered with 200.
+        /// The response had status 200.
         succeeded,
-        /// Answered with an error that repeating will not cure.
+        /// The response was an error that a retry would get again.
         rejected,
-        /// Not sent; repeating may help.
+        /// The call was not sent; a retry may succeed.
         not_sent,
-        /// Sent, and it is not known whether it took effect.
+        /// The call was sent, and it is not known whether it took effect.
         unknown
     };
 
     status_kind status = status_kind::not_sent;
     std::string body;
-    /// Set unless answered.
+    /// Set unless the call succeeded.
     error reason;
 };
 
-/// \param outcome How the HTTP call ended.
-/// \returns What follows for the call to the store.
+/// Classifies the result of an HTTP call by whether a retry can succeed and
+/// whether the call may have taken effect.
 call_outcome to_call_outcome(result<net::http_response> http_result);
 
 } // namespace parsleytrack::key_value::detail
--- a/src/key_value/call_rate_limiter.cpp
+++ b/src/key_value/call_rate_limiter.cpp
@@ -31,7 +31,8 @@
         this->tokens -= 1;
         return decision::start;
     }
-    // Urgent calls are few and bounded by what the node holds.
+    // Urgent calls are few: their number is bounded by the leases that the
+    // node holds. They may therefore use a longer queue.
     if (priority == call_priority::normal &&
         this->normal.size() >= this->queue_limit)
     {
@@ -56,7 +57,7 @@
         return std::nullopt;
     }
     this->tokens -= 1;
-    check_invariant(this->tokens >= 0, "no call starts without a token");
+    check_invariant(this->tokens >= 0, "a call must not start without a token");
     auto& queue = this->urgent.empty() ? this->normal : this->urgent;
     const ticket id = queue.front();
     queue.pop_front();
--- a/src/key_value/call_rate_limiter.hpp
+++ b/src/key_value/call_rate_limiter.hpp
@@ -10,16 +10,17 @@
 namespace parsleytrack::key_value
 {
 
-/// How urgent a call to the store is.
+/// The queue in which a call to the store waits.
 enum class call_priority
 {
-    /// Keeps something that would be lost otherwise, such as a lease.
+    /// Sent before normal calls. For calls that prevent a loss, such as that
+    /// of a lease.
     urgent,
     normal
 };
 
-/// Spreads the calls of a node so that it stays under its rate: a token bucket
-/// with a bounded queue.
+/// Limits the rate of a node's calls to the store: a token bucket with a
+/// bounded queue.
 class call_rate_limiter
 {
 public:
@@ -32,23 +33,30 @@
         reject
     };
 
-    /// \param calls_per_s The rate; at least 1.
-    /// \param queue_limit The most calls that wait.
+    /// \param calls_per_s The rate, and the largest burst; at least 1.
+    /// \param queue_limit The most normal calls that wait in the queue; up to
+    /// twice as many calls wait in all when some of them are urgent.
     call_rate_limiter(int calls_per_s, std::size_t queue_limit);
 
-    /// Asks for a call.
+    /// Requests permission to send a call.
     ///
-    /// \returns start: a token was taken; wait: next() will name the ticket;
-    /// refuse: too many wait already.
+    /// \param id Identifies the call while it is queued.
+    /// \returns start: send it now, its token has been taken; wait: it is
+    /// queued and next_ready() will return its id; reject: the queue is full.
     decision request(ticket id, call_priority priority, time_point now);
 
-    /// \returns A waiting call that may start now; a token was taken for it.
+    /// Removes the next call from the queue if a token is available.
+    ///
+    /// \returns The call to send now, its token has been taken; nothing
+    /// otherwise.
     std::optional<ticket> next_ready(time_point now);
 
-    /// \returns How long until next() names a call; nothing when none waits.
+    /// \returns Time until next_ready() returns a call; nothing when the queue
+    /// is empty.
     std::optional<duration> wait_time(time_point now);
 
-    /// \returns How long a call waits that is queued now, for Retry-After.
+    /// \returns How long a call would wait if it were queued now, for
+    /// Retry-After.
     duration queue_delay() const;
 
     std::size_t waiting() const
--- a/src/key_value/etcd_messages.cpp
+++ b/src/key_value/etcd_messages.cpp
@@ -17,13 +17,13 @@
 error unreadable_response(const char* what)
 {
     return error{error_code::corrupt_data,
-                 std::string("the store's answer to a ") + what +
-                     " cannot be read",
+                 std::string("the store's response to a ") + what +
+                     " is malformed",
                  ran_state::no,
                  {}};
 }
 
-// The API writes 64-bit numbers as strings and leaves out zeros.
+// The API writes 64-bit numbers as strings and omits fields that are zero.
 std::int64_t read_number(const json& object, const char* name)
 {
     const auto found = object.find(name);
@@ -45,7 +45,7 @@
     const auto bytes = decode_base64(found->get<std::string>());
     if (!bytes)
     {
-        throw std::invalid_argument("not base64");
+        throw std::invalid_argument("invalid base64");
     }
     return *bytes;
 }
@@ -109,7 +109,7 @@
     return body.dump();
 }
 
-// Reads a body with a function that may throw on a wrong type.
+// Parses a body; a value of the wrong type makes the reader throw.
 template <class Response, class Reader>
 result<Response> read(std::string_view body, const char* what, Reader reader)
 {
@@ -133,7 +133,7 @@
     }
     if (prefix.empty())
     {
-        // A single zero byte stands for "to the end of all keys".
+        // The API reads a single zero byte as "to the end of all keys".
         return std::string(1, '\0');
     }
     ++prefix.back();
@@ -227,7 +227,8 @@
         body, "lease call",
         [](const json& object)
         {
-            // A keep-alive is answered as an element of a stream.
+            // The response to a keep-alive is an element of a stream, wrapped
+            // in "result".
             const json& lease_object =
                 object.contains("result") ? object["result"] : object;
             lease_response parsed;
--- a/src/key_value/etcd_messages.hpp
+++ b/src/key_value/etcd_messages.hpp
@@ -11,11 +11,11 @@
 #include <string_view>
 #include <vector>
 
-/// The JSON bodies of the etcd v3 API.
+/// Encodes and parses the JSON bodies of the etcd v3 API.
 namespace parsleytrack::key_value::detail
 {
 
-/// A key as the store holds it.
+/// A key, the bytes stored under it, and its revision.
 struct stored_key
 {
     std::string key;
@@ -25,7 +25,7 @@
 
 struct range_response
 {
-    /// The store's revision when it answered.
+    /// The store's revision at the time of the response.
     store_revision revision;
     std::vector<stored_key> keys;
     bool more = false;
@@ -35,7 +35,7 @@
 {
     bool succeeded = false;
     store_revision revision;
-    /// The key as it is, where the comparison failed and it exists.
+    /// The key's current state if the comparison failed and the key exists.
     std::optional<stored_key> current;
 };
 
@@ -59,8 +59,7 @@
     std::vector<watch_event> events;
 };
 
-/// \param prefix Any prefix.
-/// \returns The first key after all keys with the prefix.
+/// \returns The exclusive end of the range of keys that begin with the prefix.
 std::string prefix_range_end(std::string prefix);
 
 std::string get_body(const std::string& key);
@@ -73,10 +72,10 @@
 std::string lease_body(store_lease lease);
 std::string watch_body(const std::string& prefix);
 
-/// \returns The answer, or error_code::corrupt_data.
+/// \returns The parsed response, or error_code::corrupt_data.
 result<range_response> parse_range(std::string_view body);
 result<transaction_response> parse_transaction(std::string_view body);
-/// Reads the answer to a grant or a keep-alive.
+/// Parses the response to a grant or a keep-alive.
 result<lease_response> parse_lease(std::string_view body);
 result<watch_response> parse_watch(std::string_view line);
 
--- a/src/key_value/etcd_store.cpp
+++ b/src/key_value/etcd_store.cpp
@@ -28,7 +28,7 @@
     return std::string(text.data());
 }
 
-// Ends the watch when its owner lets go of it.
+// Stops the watch when the handle is destroyed.
 class owned_watch : public watch_handle
 {
 public:
@@ -54,7 +54,7 @@
     return reason;
 }
 
-// Ends a call that is answered with a lease.
+// Makes the handler of a call whose response describes a lease.
 detail::etcd_transport::outcome_callback
 make_lease_handler(lease_callback callback)
 {
@@ -74,7 +74,7 @@
         if (response.value().time_to_live.count() <= 0)
         {
             callback(error{error_code::lease_lost,
-                           "the lease has lapsed",
+                           "the lease has expired",
                            ran_state::no,
                            {}});
             return;
@@ -193,7 +193,7 @@
 
 void etcd_store::grant_lease(duration time_to_live, lease_callback callback)
 {
-    // A grant whose answer was lost leaves a lease behind that lapses unused.
+    // A grant whose response was lost leaves an unused lease that expires.
     this->contents->transport->post_idempotent(
         "/v3/lease/grant", detail::grant_body(time_to_live),
         call_priority::urgent, make_lease_handler(std::move(callback)));
--- a/src/key_value/etcd_store.hpp
+++ b/src/key_value/etcd_store.hpp
@@ -13,16 +13,16 @@
 namespace parsleytrack::key_value
 {
 
-/// The platform's store, spoken to in the HTTP/JSON form of the etcd v3 API.
-/// Keys under "parsleytrack/" are the product's own and carry an envelope with
-/// write ids, so that a write whose answer was lost can be recognised.
+/// Client of the platform's store, for the HTTP/JSON form of the etcd v3 API.
+/// Keys under "parsleytrack/" belong to this product; their values are wrapped
+/// in an envelope with write ids, so that a write whose response was lost can
+/// be recognised later.
 class etcd_store
 {
 public:
-    /// \param event_loop The loop.
-    /// \param client Sends the calls.
-    /// \param addresses The store's addresses; tried in turn.
-    /// \param calls_per_s Most calls a second; further ones wait their turn.
+    /// \param addresses The store's addresses; the next one is used after a
+    /// failure.
+    /// \param calls_per_s Most calls a second; further ones are queued.
     /// \param seed Seeds the write ids and the jitter.
     etcd_store(net::event_loop& event_loop, net::http_client& client,
                std::vector<endpoint> addresses, int calls_per_s,
@@ -31,12 +31,11 @@
     etcd_store(const etcd_store&) = delete;
     etcd_store& operator=(const etcd_store&) = delete;
 
-    /// Reads a key.
+    /// Reads a key; the value is absent when the key does not exist.
     void get(const std::string& key, get_callback callback);
 
     /// Lists the keys that begin with a prefix, in order.
     ///
-    /// \param prefix The prefix.
     /// \param after Only keys greater than this one; empty for all.
     /// \param limit The most keys to return.
     void list(const std::string& prefix, const std::string& after,
@@ -44,10 +43,8 @@
 
     /// Writes a key if it still has the expected revision.
     ///
-    /// \param key The key.
     /// \param expected The revision that was read; 0 for "absent".
-    /// \param value The new value.
-    /// \param lease The key vanishes with this lease; 0 for "none".
+    /// \param lease The key is deleted when this lease ends; 0 for "none".
     void compare_and_swap(const std::string& key, store_revision expected,
                           const std::string& value, store_lease lease,
                           swap_callback callback);
@@ -60,15 +57,15 @@
     void keep_alive(store_lease lease, lease_callback callback);
     void revoke(store_lease lease, lease_callback callback);
 
-    /// Watches all keys that begin with a prefix. The present values are
+    /// Watches all keys that begin with a prefix. The current values are
     /// reported first, and again after an outage.
     [[nodiscard]] std::unique_ptr<watch_handle> watch(const std::string& prefix,
                                                       watch_callback callback);
 
-    /// \returns Whether the last calls were answered.
+    /// \returns Whether no outage has been detected.
     bool is_reachable() const;
 
-    /// \returns Calls made so far.
+    /// \returns The number of calls sent so far.
     std::uint64_t calls_made() const;
 
 private:
--- a/src/key_value/etcd_transport.cpp
+++ b/src/key_value/etcd_transport.cpp
@@ -17,7 +17,7 @@
 constexpr duration max_retry_delay = std::chrono::milliseconds(600);
 constexpr duration min_probe_delay = std::chrono::milliseconds(20);
 constexpr int idempotent_attempts = 4;
-// Calls that wait, as seconds of the node's whole rate.
+// Length of the queue: the calls that the node may send in this many seconds.
 constexpr int queue_limit_s = 4;
 constexpr std::size_t min_queue_limit = 16;
 constexpr int http_ok = 200;
@@ -39,7 +39,7 @@
 {
     if (!this->addresses.empty())
     {
-        // So that nodes do not all use the first address.
+        // A random start spreads the nodes over the store's addresses.
         this->preferred_address = this->randomness() % this->addresses.size();
     }
 }
@@ -122,8 +122,8 @@
     this->is_shut_down = true;
     this->rate_limiter_timer.cancel();
     this->probe_timer.cancel();
-    // The callbacks refer to this object and to each other, so the containers
-    // are emptied before their contents are destroyed.
+    // The callbacks hold references to this object and to each other, so the
+    // containers are emptied before their contents are destroyed.
     const auto dropped_calls = std::exchange(this->calls, {});
     const auto dropped_timers = std::exchange(this->timers, {});
 }
@@ -160,12 +160,12 @@
     duration retry_after = duration::zero();
     if (this->addresses.empty())
     {
-        rejection = "no address of the store is set";
+        rejection = "no store address is configured";
         retry_after = max_retry_delay;
     }
     else if (!this->outage.is_reachable())
     {
-        rejection = "the store is out of reach";
+        rejection = "the store is unreachable";
         retry_after = this->outage.time_until_probe(now);
     }
     else
@@ -181,7 +181,7 @@
             this->start_queued_calls();
             return number;
         }
-        rejection = "too many calls to the store wait already";
+        rejection = "the queue for calls to the store is full";
         retry_after = this->rate_limiter.queue_delay();
     }
     this->call_after(
@@ -225,7 +225,7 @@
         const duration wait =
             this->outage.time_until_probe(net::event_loop::now());
         const error reason =
-            this->unavailable("the store is out of reach", wait);
+            this->unavailable("the store is unreachable", wait);
         this->call_after(duration::zero(),
                          [this, number, reason]
                          {
@@ -362,7 +362,7 @@
         }
         return;
     }
-    // Reads a key that never exists.
+    // The probe reads a key that never exists.
     pending_call call;
     call.path = "/v3/kv/range";
     call.body = R"({"key":"cGFyc2xleXRyYWNrL3Byb2Jl"})";
--- a/src/key_value/etcd_transport.hpp
+++ b/src/key_value/etcd_transport.hpp
@@ -18,15 +18,16 @@
 namespace parsleytrack::key_value::detail
 {
 
-/// Sends HTTP calls to the store within its budget, to one address after the
-/// other, and notices outages. No callback is called before the function that
-/// took it has returned, nor after the caller is destroyed.
+/// Sends HTTP calls to the store within a rate limit, switches to the next
+/// address after a failure, and detects outages. No callback runs before the
+/// function that it was passed to has returned, nor after the transport was
+/// shut down or destroyed.
 class etcd_transport : public std::enable_shared_from_this<etcd_transport>
 {
 public:
     using outcome_callback = std::function<void(call_outcome)>;
 
-    /// A stream of answers, such as a watch.
+    /// Callbacks of a streamed response, such as that of a watch.
     struct stream_callbacks
     {
         std::function<void(std::string_view)> on_piece;
@@ -37,17 +38,17 @@
                    std::vector<endpoint> addresses, int calls_per_s,
                    std::uint64_t seed);
 
-    /// Sends one call, once.
+    /// Sends a call without retries.
     void post(const std::string& path, const std::string& body,
               call_priority priority, outcome_callback callback);
 
-    /// Sends a call whose repetition does no harm, up to three times.
+    /// Sends an idempotent call, with up to three retries.
     void post_idempotent(const std::string& path, const std::string& body,
                          call_priority priority, outcome_callback callback);
 
-    /// Opens a stream once the budget allows it.
+    /// Opens a stream once the rate limit allows it.
     ///
-    /// \param idle_timeout The longest silence on the stream.
+    /// \param idle_timeout The stream is closed after this long without data.
     /// \returns The stream's number, for close_stream_later().
     std::uint64_t open_stream(const std::string& path, const std::string& body,
                               duration idle_timeout,
@@ -56,10 +57,10 @@
     /// Closes a stream once the current callback has returned.
     void close_stream_later(std::uint64_t number);
 
-    /// Drops all calls and timers; no callback follows.
+    /// Cancels all calls and timers; no callback runs afterwards.
     void shut_down();
 
-    /// Calls a function after a delay, unless shut_down() comes before.
+    /// Calls a function after a delay, unless shut_down() is called first.
     void call_after(duration delay, std::function<void()> callback);
 
     bool is_reachable() const { return this->outage.is_reachable(); }
--- a/src/key_value/etcd_watch.cpp
+++ b/src/key_value/etcd_watch.cpp
@@ -13,7 +13,7 @@
 
 constexpr duration initial_retry_delay = std::chrono::milliseconds(200);
 constexpr duration max_retry_delay = std::chrono::seconds(5);
-// A connection that was cut without a word is noticed after this silence.
+// Detects connections that were cut without being closed.
 constexpr duration stream_idle_timeout = std::chrono::seconds(60);
 constexpr std::size_t page_key_limit = 500;
 
--- a/src/key_value/etcd_watch.hpp
+++ b/src/key_value/etcd_watch.hpp
@@ -14,8 +14,9 @@
 namespace parsleytrack::key_value::detail
 {
 
-/// A watch that opens again after failures. Each time that it has been opened,
-/// the present values are listed, so that no change is missed for good.
+/// A watch that is reopened after failures. Each time it has been opened, the
+/// current values are listed, so that changes made while it was closed are
+/// reported too.
 class etcd_watch : public std::enable_shared_from_this<etcd_watch>
 {
 public:
@@ -25,7 +26,7 @@
 
     void start();
 
-    /// Ends the watch; no callback follows.
+    /// Ends the watch; the callback is not called again.
     void stop();
 
 private:
@@ -47,14 +48,17 @@
     backoff retry_backoff;
     std::string buffer;
     std::optional<std::uint64_t> stream;
-    /// Counts openings, so that a listing of an earlier one is not taken in.
+    /// Increases when the stream is opened or closed, so that callbacks of an
+    /// earlier stream and pages of its listing are ignored.
     std::uint64_t generation = 0;
     bool stopped = false;
-    /// Revision last reported of each key.
+    /// Last reported revision of each key.
     std::map<std::string, store_revision> reported;
-    /// Keys seen by the listing under way, or by the watch meanwhile.
+    /// Keys found by the current listing, or reported by the watch since the
+    /// listing began.
     std::map<std::string, store_revision> listed;
-    /// Deletions seen while a listing is under way, which may be older.
+    /// Keys that were deleted while the current listing runs, with the revision
+    /// of the deletion. A page of the listing may still hold an older value.
     std::map<std::string, store_revision> deleted_during_listing;
 };
 
--- a/src/key_value/etcd_write.cpp
+++ b/src/key_value/etcd_write.cpp
@@ -163,7 +163,8 @@
     }
     if (revision == this->write_request.expected)
     {
-        // The answer contradicts itself; nothing follows from it.
+        // The response contradicts itself: the comparison failed although the
+        // revision is the expected one. It is treated as lost.
         this->resolution->record_lost_response();
         this->retry();
         return;
@@ -185,7 +186,7 @@
                    this->last_reason);
         return;
     }
-    // A write of which no copy was sent is refused at once in an outage.
+    // During an outage, a write that cannot have been applied fails at once.
     if (!this->resolution->has_lost_responses() &&
         !this->transport->is_reachable())
     {
@@ -235,7 +236,7 @@
     failure.code = code;
     if (code == error_code::store_outcome_unknown)
     {
-        failure.message = "the store's answer to a write of " +
+        failure.message = "the store's response to a write of " +
                           this->write_request.key +
                           " was lost: " + reason.message;
     }
--- a/src/key_value/etcd_write.hpp
+++ b/src/key_value/etcd_write.hpp
@@ -13,8 +13,8 @@
 namespace parsleytrack::key_value::detail
 {
 
-/// One compare-and-swap or deletion under way, from the first transaction to
-/// the known outcome. It lives as long as one of its calls does.
+/// One compare-and-swap or deletion in progress, from the first transaction
+/// until the outcome is reported. Its pending calls and timers keep it alive.
 class etcd_write : public std::enable_shared_from_this<etcd_write>
 {
 public:
@@ -50,7 +50,7 @@
     request write_request;
     swap_callback callback;
     std::vector<std::string> base_ids;
-    /// Ids in the envelope of the last copy.
+    /// Ids in the envelope of the last attempt.
     std::vector<std::string> sent_ids;
     std::optional<write_resolution> resolution;
     backoff retry_backoff;
--- a/src/key_value/outage_detector.cpp
+++ b/src/key_value/outage_detector.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Failures in a row; a single lost answer is no outage.
+// Consecutive failures; a single lost response is not an outage.
 constexpr int outage_failure_threshold = 4;
 constexpr duration initial_probe_delay = std::chrono::milliseconds(500);
 constexpr duration max_probe_delay = std::chrono::seconds(5);
--- a/src/key_value/outage_detector.hpp
+++ b/src/key_value/outage_detector.hpp
@@ -7,29 +7,30 @@
 namespace parsleytrack::key_value
 {
 
-/// Decides from the ends of calls whether the store is out of reach. During an
-/// outage only one probe at a time is let through, with growing pauses.
+/// Detects from the outcomes of calls whether the store is unreachable. During
+/// an outage it allows one probe at a time, with increasing delays.
 class outage_detector
 {
 public:
     outage_detector();
 
-    /// A call was answered, whatever the answer.
+    /// Records that the store handled a call, successfully or not.
     ///
     /// \returns Whether this ends an outage.
     bool record_response();
 
-    /// A call was not answered.
+    /// Records that a call got no usable response.
     ///
     /// \returns Whether this begins an outage.
     bool record_failure(time_point now, random_source& random);
 
     bool is_reachable() const { return !this->down; }
 
-    /// \returns Whether a probe may be sent now; it is then taken as sent.
+    /// \returns Whether the caller must send a probe now. No other probe is
+    /// allowed until the outcome of this one is recorded.
     bool try_start_probe(time_point now);
 
-    /// \returns How long until the next probe; for Retry-After as well.
+    /// \returns Time until the next probe, also used for Retry-After.
     duration time_until_probe(time_point now) const;
 
 private:
--- a/src/key_value/platform_store.hpp
+++ b/src/key_value/platform_store.hpp
@@ -17,17 +17,17 @@
 namespace parsleytrack::key_value
 {
 
-/// One key of a listing.
+/// A key of a listing and its value.
 using listed_value = std::pair<std::string, versioned_value>;
 
 using get_callback =
     std::function<void(result<std::optional<versioned_value>>)>;
 using list_callback = std::function<void(result<std::vector<listed_value>>)>;
-/// error_code::store_outcome_unknown when it could not be found out whether
-/// the value was written; error_code::store_unavailable when it was not.
+/// Fails with error_code::store_outcome_unknown when the value may have been
+/// written, and with error_code::store_unavailable when it was not.
 using swap_callback = std::function<void(result<swap_outcome>)>;
 using lease_callback = std::function<void(result<store_lease>)>;
-/// Gets a key that has changed, and its value; no value when it was deleted.
+/// Receives a key that has changed, and its value; no value if it was deleted.
 using watch_callback =
     std::function<void(const std::string&, std::optional<versioned_value>)>;
 
@@ -38,9 +38,9 @@
     virtual ~watch_handle() = default;
 };
 
-/// What the rest of the product needs of the platform's store. Callbacks are
-/// never called before the function has returned. A compare-and-swap compares
-/// the key's revision; revision 0 stands for "the key must be absent".
+/// The interface to the platform's store. Callbacks are never called before the
+/// function that takes them has returned. A compare-and-swap compares the key's
+/// revision; revision 0 stands for "the key must be absent".
 template <class Store>
 concept platform_store = requires(Store store, const std::string& text,
                                   store_revision revision, store_lease lease,
--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -11,24 +11,25 @@
 namespace
 {
 
-/// Above the slowest answers that the store gives while it still works.
+/// Longer than the slowest responses of a store that still works.
 constexpr duration call_timeout = std::chrono::milliseconds(1200);
-/// Longest time for a page of a listing. When all nodes start together they
-/// share the store's link, so that a page may take seconds while it flows.
+/// Timeout for one page of a listing. When all nodes start together they share
+/// the store's link, so that the transfer of a page may take seconds.
 constexpr duration listing_timeout = std::chrono::seconds(8);
-/// How long the store may hold a call for changes; its own limit is 30 s. The
-/// connection is probed meanwhile.
+/// How long the store may hold a watch call open; its own limit is 30 s. The
+/// connection is probed during that time.
 constexpr duration watch_wait = std::chrono::seconds(25);
 constexpr duration watch_timeout = watch_wait + call_timeout;
 constexpr duration initial_retry_delay = std::chrono::milliseconds(40);
 constexpr duration max_retry_delay = std::chrono::milliseconds(400);
-/// A read that was lost is most often lost with its connection.
+/// One retry suffices for most lost reads: they are lost with their connection.
 constexpr int read_retries = 1;
 constexpr int status_not_found = 404;
 constexpr int status_conflict = 412;
 constexpr int status_gone = 410;
 
-/// Answers that show a working store, whatever they say.
+/// \returns Whether the response comes from a working store; this includes
+/// failed conditions, missing keys and discarded history.
 bool is_working_store_response(const net::http_response& response)
 {
     return response.status == 200 || response.status == status_not_found ||
@@ -43,7 +44,7 @@
     net::http_request request;
     time_point deadline;
     backoff retry_backoff{initial_retry_delay, max_retry_delay};
-    /// Whether a copy was sent whose answer was lost.
+    /// Whether an attempt may have been applied although its response was lost.
     bool response_lost = false;
     commit_callback callback;
 };
@@ -134,8 +135,8 @@
                 return;
             }
             auto& records = page.value().records;
-            // Changes are followed from the first page on, since the
-            // pages are not a snapshot.
+            // Changes are watched from the revision of the first page on,
+            // since the pages are not a snapshot.
             if (std::exchange(state->first_page, false))
             {
                 state->collected.read_revision = page.value().read_revision;
@@ -263,7 +264,7 @@
              if (!is_working_store_response(outcome.value()))
              {
                  const error refused{error_code::store_unavailable,
-                                     "the store answered " +
+                                     "the store responded with HTTP status " +
                                          std::to_string(outcome.value().status),
                                      ran_state::no,
                                      {}};
--- a/src/key_value/record_client.hpp
+++ b/src/key_value/record_client.hpp
@@ -18,8 +18,9 @@
 {
 
 /// Reads and changes records of the platform's store, with transactions over
-/// several keys. Lost answers are resolved by sending the same transaction
-/// again: its conditions make sure that it is applied at most once.
+/// several keys. When the response to a transaction is lost, the same
+/// transaction is sent again: its conditions make sure that it is applied at
+/// most once.
 class record_client
 {
 public:
@@ -29,7 +30,7 @@
     /// An error's `ran` is ran_state::no when the transaction was not applied
     /// and never will be, and ran_state::unknown when that is not known.
     using commit_callback = std::function<void(result<transaction_outcome>)>;
-    /// \param reachable Whether the store answers again, or no longer does.
+    /// \param reachable False when an outage begins, true when it ends.
     using reachability_callback = std::function<void(bool reachable)>;
 
     record_client(net::event_loop& event_loop, net::http_client& client,
@@ -39,21 +40,22 @@
     record_client(const record_client&) = delete;
     record_client& operator=(const record_client&) = delete;
 
-    /// Reads one key. A failed read is repeated once.
+    /// Reads one key. A failed read is retried once.
     void get(const std::string& key, read_freshness freshness,
              get_callback callback);
 
-    /// Reads all keys of a prefix, page by page.
+    /// Reads all keys that begin with a prefix, page by page. The pages are not
+    /// a snapshot; the listing carries the revision of the first one.
     void list(const std::string& prefix, read_freshness freshness,
               list_callback callback);
 
-    /// Waits for changes, once.
+    /// Makes one call that waits for changes after a revision.
     void watch(const std::string& prefix, store_revision after,
                watch_callback callback);
 
     /// Applies a transaction.
     ///
-    /// \param timeout How long lost answers are followed up.
+    /// \param timeout How long the transaction is retried after failures.
     void commit(record_transaction transaction, duration timeout,
                 commit_callback callback);
 
--- a/src/key_value/record_follower.cpp
+++ b/src/key_value/record_follower.cpp
@@ -11,9 +11,10 @@
 {
 
 constexpr duration initial_retry_delay = std::chrono::milliseconds(100);
-/// Half of the two seconds in which operators' changes are due once the store
-/// can be reached. Refused calls count against the store's rates as well, and
-/// all nodes make them during an outage.
+/// Operators' changes must arrive within two seconds of the store being
+/// reachable again; this is half of that. It is not shorter because rejected
+/// calls count against the store's rate limits too, and all nodes retry during
+/// an outage.
 constexpr duration max_retry_delay = std::chrono::seconds(1);
 
 } // namespace
--- a/src/key_value/record_follower.hpp
+++ b/src/key_value/record_follower.hpp
@@ -12,8 +12,8 @@
 namespace parsleytrack::key_value
 {
 
-/// Keeps up with all keys of a prefix: lists them, then waits for changes, and
-/// lists them anew whenever changes may have been missed.
+/// Follows all keys that begin with a prefix: lists them, then waits for
+/// changes, and lists them again whenever changes may have been missed.
 class record_follower
 {
 public:
@@ -21,30 +21,30 @@
     {
         /// All keys of the prefix.
         ///
-        /// \param after_failure Whether calls had failed before.
+        /// \param after_failure Whether calls had failed before this listing.
         std::function<void(const record_listing&, bool after_failure)>
             on_listing;
-        /// Changes after the last listing, in their order; never none.
+        /// Changes after the last listing, in order; never empty.
         std::function<void(const std::vector<record_change>&)> on_changes;
-        /// Calls have begun to fail. Optional.
+        /// Called once when calls begin to fail. Optional.
         std::function<void(const error&)> on_failure;
     };
 
-    /// \param take Gets each record that exists, as it was listed or changed.
-    /// \returns Callbacks for a listener that needs no more.
+    /// \param callback Receives each existing record that is listed or changed.
+    /// \returns Callbacks that ignore deletions and failures.
     static callbacks
     each_record(std::function<void(const stored_record&)> callback);
 
-    /// \param delay_after_changes How long changes are collected before the
-    /// next ones are asked for, to spare calls.
+    /// \param delay_after_changes Delay before the next call for changes, so
+    /// that one call returns several changes and fewer calls are made.
     record_follower(net::event_loop& event_loop, record_client& client,
                     random_source& random_numbers, std::string key_prefix,
                     duration delay_after_changes, callbacks event_handlers);
 
-    /// Begins, or begins anew after stop().
+    /// Starts following, or restarts after stop().
     void start();
 
-    /// Follows no longer; nothing is told until start() is called.
+    /// Stops following; no callback runs until start() is called again.
     void stop();
 
     bool is_running() const { return this->running; }
@@ -52,7 +52,7 @@
     /// \returns Whether the last call has failed.
     bool is_failing() const { return this->failing; }
 
-    /// \returns When the store last confirmed what is known.
+    /// \returns When the store last confirmed that the records are current.
     time_point confirmed_at() const { return this->confirmed_time; }
 
 private:
@@ -73,10 +73,11 @@
     store_revision position;
     time_point confirmed_time;
     bool running = false;
-    /// A retry is planned and no call is under way.
+    /// A retry is scheduled and no call is pending.
     bool waiting_to_retry = false;
     bool failing = false;
-    /// Tells answers to calls from before a stop() apart.
+    /// Increases with each start() and stop(), so that responses to calls from
+    /// before a stop() are ignored.
     std::uint64_t generation = 0;
     net::timer watch_timer;
     net::timer retry_timer;
--- a/src/key_value/record_transaction.hpp
+++ b/src/key_value/record_transaction.hpp
@@ -9,22 +9,22 @@
 namespace parsleytrack::key_value
 {
 
-/// What must hold for a transaction to be applied.
+/// A transaction is applied only if the key has this revision.
 struct record_condition
 {
     std::string key;
-    /// 0 stands for "the key must be absent".
+    /// 0 means that the key must be absent.
     store_revision revision;
 };
 
-/// A value that a transaction writes.
+/// A key and the value that a transaction writes to it.
 struct record_put
 {
     std::string key;
     std::string value;
 };
 
-/// Changes of several keys, all or nothing.
+/// An atomic change of several keys.
 struct record_transaction
 {
     std::vector<record_condition> conditions;
@@ -36,9 +36,9 @@
 struct transaction_outcome
 {
     bool applied = false;
-    /// The revision of what was written.
+    /// The revision of the written keys.
     store_revision revision;
-    /// When it was not applied: the keys of the conditions as they are now.
+    /// If it was not applied: the current state of the conditions' keys.
     std::vector<stored_record> current;
 };
 
--- a/src/key_value/store_lease.hpp
+++ b/src/key_value/store_lease.hpp
@@ -5,7 +5,7 @@
 namespace parsleytrack::key_value
 {
 
-/// A lease in the platform's store; 0 stands for "no lease".
+/// Id of a lease in the platform's store; 0 stands for "no lease".
 using store_lease = strong_number<struct store_lease_tag>;
 
 } // namespace parsleytrack::key_value
--- a/src/key_value/stored_record.hpp
+++ b/src/key_value/stored_record.hpp
@@ -20,7 +20,8 @@
     bool exists() const { return this->revision != store_revision(); }
 };
 
-/// Keys of a prefix, and the store's revision at which the last were read.
+/// Keys that begin with a prefix, and the store's revision when they were read;
+/// with several pages, that of the first page.
 struct record_listing
 {
     std::vector<stored_record> records;
@@ -29,20 +30,19 @@
     bool truncated = false;
 };
 
-/// Changes of a prefix; a record without a revision of existence stands for a
-/// deletion.
+/// A change of one key. For a deletion, `deleted` is set.
 struct record_change
 {
     stored_record record;
     bool deleted = false;
 };
 
-/// What one call to wait for changes has brought.
+/// The result of one call that waits for changes.
 struct record_changes
 {
     std::vector<record_change> changes;
     store_revision read_revision;
-    /// The store has discarded the history that was asked for.
+    /// The store has already discarded the requested changes.
     bool history_lost = false;
 };
 
--- a/src/key_value/swap_outcome.hpp
+++ b/src/key_value/swap_outcome.hpp
@@ -10,9 +10,9 @@
 /// The known outcome of a compare-and-swap.
 struct swap_outcome
 {
-    /// Whether the new value was written.
+    /// Whether the write or deletion took effect.
     bool applied = false;
-    /// The key's value now; absent when there is none.
+    /// The key's current value; absent when the key does not exist.
     std::optional<versioned_value> current;
 };
 
--- a/src/key_value/value_reader.cpp
+++ b/src/key_value/value_reader.cpp
@@ -21,7 +21,7 @@
     auto envelope = decode_envelope(entry.bytes);
     if (!envelope)
     {
-        // Written by other means, such as the platform's own tool.
+        // Written by another program, such as the platform's own tool.
         ids.remember(entry.key, entry.revision, {});
         return versioned_value{entry.bytes, entry.revision};
     }
--- a/src/key_value/value_reader.hpp
+++ b/src/key_value/value_reader.hpp
@@ -9,16 +9,14 @@
 namespace parsleytrack::key_value::detail
 {
 
-/// \param key Any key.
-/// \returns Whether it is the product's own, so that its value carries an
-/// envelope.
+/// \returns Whether the key belongs to this product, so that its value is
+/// stored in an envelope.
 bool has_envelope(const std::string& key);
 
-/// Takes a value out of its envelope and remembers its write ids.
+/// Extracts a value from its envelope and caches its write ids.
 ///
-/// \param entry What the store holds.
-/// \param ids Where the ids are remembered.
-/// \returns The value; the bytes as they are when they hold no envelope.
+/// \param ids The cache for the write ids.
+/// \returns The value; the unchanged bytes if they are not in an envelope.
 versioned_value read_value(const stored_key& entry, write_id_cache& ids);
 
 } // namespace parsleytrack::key_value::detail
--- a/src/key_value/write_envelope.cpp
+++ b/src/key_value/write_envelope.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-// The first word of every envelope; the number is the version of the form.
+// The first word of every envelope; the number is the version of the format.
 constexpr std::string_view envelope_header = "envelope1";
 
 } // namespace
--- a/src/key_value/write_resolution.cpp
+++ b/src/key_value/write_resolution.cpp
@@ -50,7 +50,7 @@
     store_revision revision, const std::vector<std::string>& write_ids)
 {
     check_invariant(revision != this->expected,
-                    "a compare fails only on another revision");
+                    "a comparison fails only if the revision differs");
     if (contains_attempt_of(write_ids, this->write_id))
     {
         return this->decide(write_status::applied);
@@ -59,8 +59,9 @@
     {
         return this->decide(write_status::not_applied);
     }
-    // The key was overwritten in turn and never deleted: all writes since the
-    // expected revision are among the ids, and this one is not.
+    // If the base id is still listed, the key was overwritten but not deleted
+    // since, and the ids include all writes after the expected revision; this
+    // write is not among them.
     const bool complete =
         !this->base_id.empty() && contains(write_ids, this->base_id);
     return this->decide(complete ? write_status::not_applied
@@ -76,7 +77,7 @@
 write_status write_resolution::decide(write_status status)
 {
     check_invariant(this->decided == write_status::pending,
-                    "a write is decided once");
+                    "the outcome of a write is decided only once");
     this->decided = status;
     return status;
 }
--- a/src/key_value/write_resolution.hpp
+++ b/src/key_value/write_resolution.hpp
@@ -10,64 +10,65 @@
 namespace parsleytrack::key_value
 {
 
-/// What is known of a write.
+/// What is known about whether a write was applied.
 enum class write_status
 {
-    /// The answer was lost; the same transaction is to be sent again.
+    /// Not known yet; the same transaction must be sent again.
     pending,
     applied,
-    /// It has not been applied and never will be.
+    /// The write was not applied and never will be.
     not_applied,
-    /// It cannot be found out any more.
+    /// It can no longer be determined.
     unknown
 };
 
-/// Finds out whether a compare-and-swap was applied, although answers are
-/// lost. The same transaction is sent with the same expected revision until an
-/// answer comes: a revision is never used twice, so at most one of the copies
-/// can succeed, and once the key has another revision none can any more. The
-/// ids in the envelope tell whose write moved the revision on.
+/// Determines whether a compare-and-swap was applied although responses were
+/// lost. The same transaction is sent with the same expected revision until a
+/// response arrives: a revision is never used twice, so at most one attempt can
+/// succeed, and once the key has another revision none can any more. The ids in
+/// the envelope show which write changed the revision.
 ///
-/// Each copy has an id of its own, so that a creation that a late copy repeats
-/// after a deletion is not taken for the first one.
+/// Each attempt has its own id, so that a delayed attempt that creates the key
+/// again after a deletion is not mistaken for the first one.
 ///
-/// A key that was absent has no revision of its own, and a late copy could
-/// create it again after a deletion; "not applied" is then only said while no
-/// answer has been lost.
+/// A key that was absent has no revision of its own, and a delayed attempt
+/// could create it again after a deletion; "not applied" is then reported only
+/// if no response has been lost.
 class write_resolution
 {
 public:
-    /// \param write_id The id of this write; holds no dot.
+    /// \param write_id The id of this write; must not contain a dot.
     /// \param expected The revision that the transaction expects.
     /// \param base_id The newest write id in the envelope at that revision;
-    /// empty when there is none.
+    /// empty if there is none.
     write_resolution(std::string write_id, store_revision expected,
                      std::string base_id);
 
-    /// \returns The id for the envelope of the next copy.
+    /// \returns The id for the envelope of the next attempt.
     std::string next_attempt_id();
 
-    /// A copy was sent and its answer lost.
+    /// Records that an attempt was sent and its response was lost.
     void record_lost_response() { this->response_lost = true; }
 
-    /// A copy was answered with "succeeded".
+    /// Records that the store has applied an attempt.
     write_status record_success();
 
-    /// A copy was answered with "failed".
+    /// Records that the comparison of an attempt failed.
     ///
-    /// \param revision The key's revision now; 0 when it is absent.
-    /// \param write_ids The ids in its envelope.
+    /// \param revision The key's current revision; 0 if it is absent.
+    /// \param write_ids The ids in the key's current envelope.
     write_status
     record_failed_compare(store_revision revision,
                           const std::vector<std::string>& write_ids);
 
-    /// No copy will be sent any more.
+    /// Ends the resolution; no further attempt will be sent.
     write_status abandon();
 
-    /// The store has refused the transaction without looking at the key.
+    /// Records that the store rejected the transaction without comparing the
+    /// key's revision.
     write_status record_rejection() { return this->abandon(); }
 
-    /// \returns Whether a copy may still take effect.
+    /// \returns Whether an attempt may have been applied, or may still be.
     bool has_lost_responses() const { return this->response_lost; }
 
 private:
