--- a/tests/fake_store/fake_store_server.hpp
+++ b/tests/fake_store/fake_store_server.hpp
@@ -13,7 +13,8 @@
 namespace parsleytrack::key_value
 {
 
-/// A store of the etcd v3 HTTP/JSON form inside the test, with faults.
+/// An in-process server for the HTTP/JSON form of the etcd v3 API, with fault
+/// injection.
 class fake_store_server
 {
 public:
@@ -30,10 +31,10 @@
     std::map<std::string, entry> keys;
     std::int64_t revision = 0;
     int calls = 0;
-    /// Answers every call with 503, before it takes effect.
+    /// Responds to every call with 503 and does not apply it.
     bool unavailable = false;
-    /// Chances in a hundred that an answer is lost after a call has taken
-    /// effect, or the call before it has.
+    /// Probabilities, in percent, that the response is lost after the call has
+    /// taken effect, and that the call is lost before it takes effect.
     int response_loss_percent = 0;
     int request_loss_percent = 0;
     random_source random{7};
--- a/tests/key_value/call_rate_limiter_test.cpp
+++ b/tests/key_value/call_rate_limiter_test.cpp
@@ -20,7 +20,7 @@
 
 TEST_GROUP(call_rate_limiter){};
 
-TEST(call_rate_limiter, any_window_stays_under_rate_and_burst)
+TEST(call_rate_limiter, calls_in_any_second_stay_within_rate_plus_burst)
 {
     constexpr int rate = 20;
     random_source random(11);
@@ -61,7 +61,7 @@
     }
 }
 
-TEST(call_rate_limiter, a_full_queue_refuses_at_once)
+TEST(call_rate_limiter, a_queue_full_for_normal_calls_accepts_urgent_ones)
 {
     call_rate_limiter limiter(1, 2);
     const time_point now;
@@ -82,7 +82,7 @@
 
 TEST_GROUP(outage_detector){};
 
-TEST(outage_detector, one_probe_at_a_time_with_growing_pauses)
+TEST(outage_detector, sends_one_probe_at_a_time_with_increasing_delays)
 {
     random_source random(3);
     outage_detector detector;
@@ -109,7 +109,7 @@
     CHECK(detector.is_reachable());
 }
 
-TEST(outage_detector, nodes_that_fail_together_come_back_apart)
+TEST(outage_detector, nodes_that_fail_together_retry_at_different_times)
 {
     std::set<duration> delays;
     for (std::uint64_t seed = 0; seed < 390; ++seed)
--- a/tests/key_value/etcd_store_test.cpp
+++ b/tests/key_value/etcd_store_test.cpp
@@ -89,7 +89,7 @@
     CHECK(!this->get(*store).value().has_value());
 }
 
-TEST(etcd_store, other_keys_are_stored_as_they_are)
+TEST(etcd_store, only_own_keys_are_stored_in_an_envelope)
 {
     const auto store = this->make_store();
     const std::string raw = "instances/rota-llm/1";
@@ -128,9 +128,9 @@
     STRCMP_EQUAL("parsleytrack/a/4", seen.back().c_str());
 }
 
-// Several nodes race for one key while calls and answers are lost. What they
-// are told must agree with what the store has seen.
-TEST(etcd_store, outcomes_are_true_although_answers_are_lost)
+// Guards against a write that is reported as applied when it was not, or the
+// reverse. Several nodes write one key while requests and responses are lost.
+TEST(etcd_store, reported_outcomes_are_correct_when_responses_are_lost)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed)
     {
@@ -207,7 +207,7 @@
     }
 }
 
-TEST(etcd_store, an_outage_is_noticed_and_refused_at_once)
+TEST(etcd_store, calls_fail_at_once_during_an_outage)
 {
     const auto store = this->make_store();
     this->server.unavailable = true;
@@ -228,7 +228,7 @@
     CHECK(this->get(*store).has_value());
 }
 
-TEST(etcd_store, a_watch_catches_up_after_it_was_cut)
+TEST(etcd_store, a_watch_catches_up_after_its_connection_was_cut)
 {
     const auto store = this->make_store();
     std::map<std::string, std::string> view;
@@ -267,7 +267,7 @@
     LONGS_EQUAL(1, view.size());
 }
 
-TEST(etcd_store, a_destroyed_store_calls_nobody_back)
+TEST(etcd_store, a_destroyed_store_runs_no_callbacks)
 {
     auto store = this->make_store();
     bool called = false;
--- a/tests/key_value/write_resolution_test.cpp
+++ b/tests/key_value/write_resolution_test.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-// One key of a store that can be written, deleted and created again.
+// Model of one key of a store that can be written, deleted and created again.
 struct model_key
 {
     std::int64_t last_revision = 0;
@@ -66,14 +66,15 @@
     int contradictions = 0;
 };
 
-// Takes a lost answer or a failed comparison at its word, as a naive client.
+// The status that a naive client assumes: not applied unless the response says
+// that the transaction succeeded.
 write_status naive_status(bool succeeded)
 {
     return succeeded ? write_status::applied : write_status::not_applied;
 }
 
-// Several writers race for one key; copies of their transactions arrive late
-// and answers are lost.
+// Several writers write one key concurrently; some of their transactions are
+// delayed, and some responses are lost.
 totals race(std::uint64_t seed, int steps, bool naive)
 {
     random_source random(seed);
@@ -114,7 +115,7 @@
         std::optional<write_status> status;
         if (fate < 2)
         {
-            // The copy is still on its way when the answer is given up on.
+            // The writer stops waiting while the transaction is in transit.
             delayed.push_back(
                 {one.expected, one.resolution->next_attempt_id(), one.base});
             one.resolution->record_lost_response();
@@ -169,7 +170,7 @@
 
 TEST_GROUP(write_resolution){};
 
-TEST(write_resolution, never_contradicts_what_happened)
+TEST(write_resolution, reported_status_never_contradicts_the_store)
 {
     totals sum;
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
@@ -181,19 +182,19 @@
             sum.statuses[status] += count;
         }
     }
-    // Each verdict occurs, and most writes are decided.
+    // Every final status occurs; more writes are confirmed than left unknown.
     CHECK(sum.statuses[write_status::unknown] > 0);
     CHECK(sum.statuses[write_status::not_applied] > 0);
     CHECK(sum.statuses[write_status::applied] >
           sum.statuses[write_status::unknown]);
 }
 
-TEST(write_resolution, a_naive_client_contradicts_what_happened)
+TEST(write_resolution, a_naive_client_reports_wrong_statuses)
 {
     CHECK(race(1, 5000, true).contradictions > 0);
 }
 
-TEST(write_resolution, a_write_that_was_overwritten_in_turn_was_applied)
+TEST(write_resolution, an_overwritten_write_is_reported_as_applied)
 {
     write_resolution write("mine", store_revision(4), "base.1");
     write.record_lost_response();
@@ -202,7 +203,7 @@
           write_status::applied);
 }
 
-TEST(write_resolution, ids_that_reach_back_to_the_base_prove_a_loss)
+TEST(write_resolution, is_not_applied_if_ids_include_the_base_but_not_the_write)
 {
     write_resolution write("mine", store_revision(4), "base.1");
     write.record_lost_response();
@@ -211,7 +212,7 @@
         write_status::not_applied);
 }
 
-TEST(write_resolution, ids_that_do_not_reach_back_prove_nothing)
+TEST(write_resolution, is_unknown_if_ids_do_not_include_the_base)
 {
     write_resolution write("mine", store_revision(4), "base.1");
     write.record_lost_response();
@@ -219,7 +220,7 @@
           write_status::unknown);
 }
 
-TEST(write_resolution, a_late_copy_may_create_a_deleted_key_again)
+TEST(write_resolution, is_unknown_after_a_lost_response_to_a_creation)
 {
     write_resolution write("mine", store_revision(), "");
     write.record_lost_response();
