--- a/src/cli/address_cache.cpp
+++ b/src/cli/address_cache.cpp
@@ -79,7 +79,7 @@
         body.value("valid_for_s", 1.0) * microseconds_per_second));
     this->addresses = std::move(received);
     this->valid_until = now + validity;
-    // Asked a little early, so that sending never waits for the answer.
+    // Refreshed early, so that sending does not have to wait for the response.
     this->next_refresh_at = now + validity * 3 / 4;
 }
 
--- a/src/cli/address_cache.hpp
+++ b/src/cli/address_cache.hpp
@@ -11,22 +11,23 @@
 namespace parsleytrack::cli
 {
 
-/// Asks the fleet which nodes to use and keeps the answer for its validity, as
-/// callers do.
+/// Requests the addresses of a service from the fleet and caches them while
+/// they are valid, as real callers do.
 class address_cache
 {
 public:
-    /// \param http_client Sends the questions.
-    /// \param load Says which nodes to ask, and for which service.
-    /// \param first_node Which of the nodes is asked first.
+    /// \param http_client Sends the requests.
+    /// \param load Names the nodes and the service.
+    /// \param first_node Index of the node to try first, modulo their number.
     address_cache(net::http_client& http_client, const load_options& load,
                   std::size_t first_node);
 
-    /// \returns Where to send a request now. The answer in hand is used until
-    /// a newer one has come.
+    /// \returns The address to send a request to now; nullopt without a valid
+    /// address list.
     std::optional<endpoint> pick();
 
-    /// Asks again when the answer in hand is running out. To be called often.
+    /// Requests a new address list when a quarter of the validity remains.
+    /// Must be called periodically.
     void refresh();
 
 private:
--- a/src/cli/arrival_process.cpp
+++ b/src/cli/arrival_process.cpp
@@ -21,8 +21,8 @@
 
 duration arrival_process::next()
 {
-    // Thinning: candidates are drawn at the highest rate and kept with the
-    // probability that the rate at their time has of it.
+    // Thinning: candidates are drawn at the highest rate, and each is accepted
+    // with probability (rate at its time) / (highest rate).
     const double highest = this->rate * std::max(1.0, this->burst_factor);
     std::exponential_distribution<double> gap(highest);
     std::uniform_real_distribution<double> draw(0, highest);
@@ -40,7 +40,7 @@
     {
         return this->rate;
     }
-    // The first burst comes after a whole interval.
+    // The first burst starts after one full interval.
     const bool in_burst =
         since_start >= this->burst_interval &&
         since_start % this->burst_interval < this->burst_length;
--- a/src/cli/arrival_process.hpp
+++ b/src/cli/arrival_process.hpp
@@ -6,18 +6,18 @@
 namespace parsleytrack::cli
 {
 
-/// Draws when open-loop requests arrive: a Poisson process whose rate is
-/// higher in bursts.
+/// Generates the arrival times of open-loop requests: a Poisson process whose
+/// rate is higher in bursts.
 class arrival_process
 {
 public:
     explicit arrival_process(const load_options& load);
 
-    /// \returns The time of the next arrival since the start.
+    /// \returns The time from the start to the next arrival.
     duration next();
 
 private:
-    /// \returns Arrivals a second at a time.
+    /// \returns The rate at a given time, in arrivals per second.
     double rate_at(duration since_start) const;
 
     double rate;
--- a/src/cli/batch_workload.cpp
+++ b/src/cli/batch_workload.cpp
@@ -120,7 +120,8 @@
 void batch_workload::handle_response(job& entry,
                                      const result<net::http_response>& response)
 {
-    // Without an answer the next poll asks again; a resent job finds itself.
+    // After an error the next poll retries; the idempotency key keeps a job
+    // from being submitted twice.
     if (response.has_error())
     {
         return;
--- a/src/cli/batch_workload.hpp
+++ b/src/cli/batch_workload.hpp
@@ -12,7 +12,7 @@
 namespace parsleytrack::cli
 {
 
-/// Submits batch jobs, follows them to their end and counts their results.
+/// Submits batch jobs, polls them until they end and counts their results.
 class batch_workload
 {
 public:
@@ -23,7 +23,7 @@
     /// Submits all jobs.
     void start(request_generator& prompts, time_point start_time);
 
-    /// \returns Whether every job has ended or was refused.
+    /// \returns Whether every job was refused or has had its results fetched.
     bool is_done() const;
 
 private:
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -10,23 +10,23 @@
 namespace parsleytrack::cli
 {
 
-/// One command of the command line.
+/// One command of the command line and how it is run.
 struct command
 {
-    /// Its words, such as {"job", "show"}.
+    /// Words that select the command, such as {"job", "show"}.
     std::vector<std::string> words;
-    /// Names of its arguments, such as {"ID"}.
+    /// Names of the arguments after them, such as {"ID"}.
     std::vector<std::string> arguments;
-    /// One sentence.
+    /// One sentence for the help text.
     std::string help;
-    /// Does it.
+    /// Runs the command; gets the client and the arguments.
     std::function<exit_code(node_client&, const std::vector<std::string>&)> run;
 };
 
-/// \returns All commands but "load", which reads its own flags.
+/// \returns All commands except "load", which parses its own flags.
 std::vector<command> all_commands();
 
-/// The commands of one matter.
+/// The commands of each group.
 std::vector<command> release_commands();
 std::vector<command> job_commands();
 std::vector<command> fleet_commands();
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -37,7 +37,8 @@
         out << "  " << usage_of(entry) << "\n      " << entry.help << '\n';
     }
     out << "  parsleytrack load --help\n"
-           "      Puts load on a fleet and reports latency and throughput.\n\n"
+           "      Generates load on a fleet and reports latency and "
+           "throughput.\n\n"
            "Flags:\n";
     for (const char* name :
          {"nodes", "json", "workspace", "deadline_s", "key", "expected_version",
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -7,9 +7,9 @@
 
 /// Runs the command that the arguments name.
 ///
-/// \param argc As main() got it.
-/// \param argv As main() got it.
-/// \returns How the program ends.
+/// \param argc As passed to main().
+/// \param argv As passed to main().
+/// \returns The exit code of the process.
 exit_code run_command_line(int argc, char** argv);
 
 } // namespace parsleytrack::cli
--- a/src/cli/exit_code.hpp
+++ b/src/cli/exit_code.hpp
@@ -3,13 +3,14 @@
 namespace parsleytrack::cli
 {
 
-/// How the command line ends.
+/// Exit code of the process.
 enum class exit_code
 {
     done = 0,
-    /// The fleet has answered with a refusal, or a check has findings.
+    /// The fleet refused the request, a job or a release did not reach the
+    /// awaited state, or a check has findings.
     refused = 1,
-    /// The command or its flags are wrong.
+    /// The command or its flags are wrong, or a file cannot be read or written.
     usage = 2,
     /// No node could be reached.
     unreachable = 3
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -66,7 +66,7 @@
         {{"nodes"}, {}, "Shows the nodes and their states.", show_nodes},
         {{"addresses"},
          {},
-         "Shows where callers of a service connect; --service.",
+         "Shows the addresses that callers of a service connect to; --service.",
          show_addresses},
     };
 }
--- a/src/cli/job_commands.cpp
+++ b/src/cli/job_commands.cpp
@@ -135,7 +135,7 @@
     net::http_request request;
     request.method = "POST";
     request.target = job_target(arguments.at(0), "/cancel");
-    // A cancel may be repeated without harm.
+    // Cancelling is idempotent; the key allows a retry on another node.
     request.headers = {{"Idempotency-Key", "cancel-" + arguments.at(0)}};
     return print_response(nodes.send_request(request), print_job);
 }
@@ -149,12 +149,12 @@
          {"FILE"},
          "Submits a JSONL file; --deadline_s, --workspace, --key, --wait.",
          submit_job},
-        {{"job", "show"}, {"ID"}, "Shows how far a job has come.", show_job},
+        {{"job", "show"}, {"ID"}, "Shows the progress of a job.", show_job},
         {{"job", "results"},
          {"ID"},
          "Prints one line of JSON for each item.",
          print_results},
-        {{"job", "cancel"}, {"ID"}, "Stops a job.", cancel_job},
+        {{"job", "cancel"}, {"ID"}, "Cancels a job.", cancel_job},
     };
 }
 
--- a/src/cli/latency_histogram.hpp
+++ b/src/cli/latency_histogram.hpp
@@ -8,7 +8,7 @@
 namespace parsleytrack::cli
 {
 
-/// Latencies of a load run and their percentiles, within 3%.
+/// Latencies of a load run; percentiles are accurate to within 3%.
 class latency_histogram
 {
 public:
@@ -19,9 +19,9 @@
 
     void record(duration value);
 
-    /// \param fraction Such as 0.95.
-    /// \returns The latency in milliseconds that this fraction stays below; 0
-    /// without any latencies.
+    /// \param fraction Between 0 and 1, such as 0.95.
+    /// \returns The latency in milliseconds that this fraction of the values
+    /// does not exceed; 0 when nothing was recorded.
     double percentile_ms(double fraction) const;
 
     std::uint64_t count() const { return this->recorded; }
--- a/src/cli/load_command.cpp
+++ b/src/cli/load_command.cpp
@@ -10,25 +10,31 @@
 #include <fstream>
 #include <iostream>
 
-DEFINE_string(model, "", "load: model or adapter that requests name");
+DEFINE_string(model, "", "load: model or adapter to request");
 DEFINE_uint64(seed, 1, "load: seed of arrivals and prompts");
-DEFINE_double(seconds, 30, "load: how long online requests are sent");
-DEFINE_double(rate, 10, "load: online requests a second, outside of bursts");
+DEFINE_double(seconds, 30,
+              "load: seconds during which online requests are sent");
+DEFINE_double(rate, 10, "load: online requests per second outside of bursts");
 DEFINE_double(burst_factor, 5, "load: rate in a burst, in multiples of --rate");
-DEFINE_double(burst_every_s, 0, "load: from burst to burst; 0 for no bursts");
-DEFINE_double(burst_s, 2, "load: length of a burst");
-DEFINE_int32(deadline_ms, 10000, "load: deadline of online requests");
-DEFINE_int32(tokens, 32, "load: tokens of an online answer");
-DEFINE_int32(callers, 16, "load: callers that each ask for addresses");
-DEFINE_int32(families, 20, "load: prompt families that share a prefix");
-DEFINE_int32(prefix_bytes, 1024, "load: length of a shared prefix");
-DEFINE_int32(question_bytes, 128, "load: length of what follows the prefix");
+DEFINE_double(burst_every_s, 0,
+              "load: seconds between the starts of bursts; 0 for no bursts");
+DEFINE_double(burst_s, 2, "load: length of a burst in seconds");
+DEFINE_int32(deadline_ms, 10000,
+             "load: deadline of online requests in milliseconds");
+DEFINE_int32(tokens, 32, "load: token limit of an online request");
+DEFINE_int32(callers, 16,
+             "load: simulated callers, each with its own address list");
+DEFINE_int32(families, 20,
+             "load: prompt families; prompts of a family share a prefix");
+DEFINE_int32(prefix_bytes, 1024, "load: length of a shared prefix in bytes");
+DEFINE_int32(question_bytes, 128,
+             "load: length in bytes of the question after the prefix");
 DEFINE_int32(workspaces, 10,
-             "load: workspaces; number k sends in proportion to 1/k");
-DEFINE_int32(batch_jobs, 0, "load: batch jobs, submitted at the start");
+             "load: workspaces; workspace k sends in proportion to 1/k");
+DEFINE_int32(batch_jobs, 0, "load: batch jobs to submit at the start");
 DEFINE_int32(batch_items, 100, "load: items of each batch job");
-DEFINE_int32(batch_tokens, 32, "load: tokens of each batch item");
-DEFINE_string(svg, "", "load: file for a plot of latency over time");
+DEFINE_int32(batch_tokens, 32, "load: token limit of each batch item");
+DEFINE_string(svg, "", "load: SVG file for a plot of latency over time");
 
 namespace parsleytrack::cli
 {
@@ -45,7 +51,7 @@
         static_cast<std::int64_t>(seconds * microseconds_per_second));
 }
 
-/// \returns What is wrong with the flags; empty when they can be used.
+/// \returns The first problem found in the flags; empty when they are valid.
 std::string check_flags()
 {
     if (FLAGS_service.empty() || FLAGS_model.empty())
@@ -111,7 +117,8 @@
     load_runner runner(read_options(*nodes));
     if (!runner.run())
     {
-        std::cerr << "no node gave an address for " << FLAGS_service << '\n';
+        std::cerr << "no node returned an address for " << FLAGS_service
+                  << '\n';
         return static_cast<int>(exit_code::unreachable);
     }
     const load_report& report = runner.report();
--- a/src/cli/load_command.hpp
+++ b/src/cli/load_command.hpp
@@ -6,7 +6,7 @@
 /// Runs "parsleytrack load".
 ///
 /// \param argc Number of arguments.
-/// \param argv The arguments, the first of which stands for the program.
+/// \param argv The arguments; the first takes the place of the program name.
 /// \returns The exit code of the process.
 int run_load(int argc, char** argv);
 
--- a/src/cli/load_report.hpp
+++ b/src/cli/load_report.hpp
@@ -11,7 +11,7 @@
 namespace parsleytrack::cli
 {
 
-/// What one second of a load run was like.
+/// Measurements of one second of a load run.
 struct second_stats
 {
     int sent = 0;
@@ -20,17 +20,17 @@
     latency_histogram first_token;
 };
 
-/// What was measured in a load run.
+/// Measurements of a load run.
 struct load_report
 {
     int sent = 0;
-    /// Whole answers.
+    /// Complete responses.
     int completed = 0;
-    /// Whole answers within their deadline.
+    /// Complete responses within their deadline.
     int on_time = 0;
-    /// Answers that broke off.
+    /// Responses that ended before they were complete.
     int interrupted = 0;
-    /// Refusals and failures by reason.
+    /// Number of refusals and failures for each reason.
     std::map<std::string, int> refused;
     std::uint64_t online_tokens = 0;
     latency_histogram first_token;
@@ -44,22 +44,22 @@
     std::uint64_t batch_items_finished = 0;
     std::uint64_t batch_tokens = 0;
 
-    /// Seconds of sending, and until the last answer.
+    /// Seconds during which requests were sent, and until the last one ended.
     double sending_s = 0;
     double elapsed_s = 0;
     std::vector<second_stats> seconds;
 
-    /// \returns The entry of the second in which something happened.
+    /// \returns The entry of the given second; added if it does not exist.
     second_stats& second_at(duration since_start);
 
-    /// \returns All figures as JSON, for programs.
+    /// \returns All measurements as JSON, for scripts.
     std::string to_json() const;
 
-    /// \returns The figures and a plot of the first-token latency over time,
-    /// for people.
+    /// \returns The measurements and a plot of the first-token latency over
+    /// time as text, for people.
     std::string to_text() const;
 
-    /// \returns The plot as SVG.
+    /// \returns A plot of the first-token latency over time as SVG.
     std::string to_svg() const;
 };
 
--- a/src/cli/load_runner.cpp
+++ b/src/cli/load_runner.cpp
@@ -12,7 +12,8 @@
 constexpr duration refresh_interval = std::chrono::milliseconds(100);
 constexpr duration address_timeout = std::chrono::seconds(10);
 constexpr duration loop_interval = std::chrono::milliseconds(100);
-/// Beyond its deadline, how long an answer is waited for.
+/// How long after its deadline a response is still accepted; late responses
+/// are measured too.
 constexpr duration response_margin = std::chrono::seconds(10);
 constexpr double microseconds_per_second = 1e6;
 
@@ -67,7 +68,7 @@
     this->measured.sending_s = to_seconds(this->options.sending_time);
     this->measured.elapsed_s =
         to_seconds(net::event_loop::now() - this->start_time);
-    // Ended calls are freed before the client.
+    // Ended calls must be freed before the client.
     this->loop.run_for(duration::zero());
     return true;
 }
@@ -117,7 +118,8 @@
     this->measured.sent += 1;
     this->measured.second_at(arrival).sent += 1;
     auto request = std::make_unique<online_request>();
-    // Latency counts from the arrival, also when this program runs late.
+    // Latency is measured from the scheduled arrival, so that a delay of this
+    // program counts as well.
     request->sent = this->start_time + arrival;
     request->arrival = arrival;
     const std::uint64_t number = this->next_number++;
@@ -176,7 +178,8 @@
     {
         this->record_response(*request);
     }
-    // The call is in the middle of this callback, so it goes later.
+    // This is a callback of the call, so the request that owns the call is
+    // freed from the event loop.
     this->loop.post([request] {});
 }
 
--- a/src/cli/load_runner.hpp
+++ b/src/cli/load_runner.hpp
@@ -18,16 +18,17 @@
 namespace parsleytrack::cli
 {
 
-/// Puts load on a fleet and measures it. Arrivals are open-loop: they do not
-/// wait for answers.
+/// Generates load on a fleet and measures the responses. Arrivals are
+/// open-loop: they do not wait for responses.
 class load_runner
 {
 public:
     explicit load_runner(const load_options& load);
 
-    /// Runs until all requests are answered and all jobs have ended.
+    /// Runs until all requests and jobs have ended.
     ///
-    /// \returns Whether the fleet gave an address.
+    /// \returns False when a caller received no address within 10 s; no load
+    /// has been generated then.
     bool run();
 
     const load_report& report() const { return this->measured; }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -7,7 +7,7 @@
 int main(int argc, char** argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    // "load" has flags of its own, so it reads all of them itself.
+    // "load" has its own flags and parses the whole command line itself.
     if (argc > 1 && std::string_view(argv[1]) == "load")
     {
         return parsleytrack::cli::run_load(argc - 1, argv + 1);
--- a/src/cli/node_client.cpp
+++ b/src/cli/node_client.cpp
@@ -27,7 +27,7 @@
 node_client::send_request(const net::http_request& request)
 {
     error last_error{error_code::peer_unreachable,
-                     "no node was named; use --nodes",
+                     "no node address was given; use --nodes",
                      ran_state::no,
                      {}};
     for (const endpoint& node : this->addresses)
@@ -54,7 +54,7 @@
     if (this->addresses.empty())
     {
         return error{error_code::peer_unreachable,
-                     "no node was named; use --nodes",
+                     "no node address was given; use --nodes",
                      ran_state::no,
                      {}};
     }
@@ -75,7 +75,7 @@
         on_piece(piece);
     };
     error last_error{error_code::peer_unreachable,
-                     "no node was named; use --nodes",
+                     "no node address was given; use --nodes",
                      ran_state::no,
                      {}};
     for (const endpoint& node : this->addresses)
--- a/src/cli/node_client.hpp
+++ b/src/cli/node_client.hpp
@@ -14,33 +14,37 @@
 namespace parsleytrack::cli
 {
 
-/// Asks the nodes of a fleet, one after the other until one can be reached.
+/// Sends requests to the nodes of a fleet, trying them in order until one can
+/// be reached.
 class node_client
 {
 public:
     /// \param nodes The HTTP addresses to try, in order.
-    /// \param timeout Longest time to wait for one answer.
+    /// \param timeout Longest wait for the head of a response, and between
+    /// pieces of its body.
     node_client(std::vector<endpoint> nodes, duration timeout);
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
-    /// \returns The answer, or error_code::peer_unreachable when no node could
-    /// be reached. A request whose connection was lost is sent to the next
-    /// node only when it is a GET or carries an idempotency key.
+    /// \returns The response, or error_code::peer_unreachable when no node
+    /// could be reached. A request that may have been executed before its
+    /// connection was lost is sent to the next node only when it is a GET or
+    /// carries an idempotency key.
     result<node_response> send_request(const net::http_request& request);
 
-    /// Asks a node at the port of the first address.
+    /// Sends a request to a given node, at the port of the first address.
     ///
     /// \param host The node's IP address.
-    /// \returns The answer, or why there is none.
+    /// \returns The response, or the error that prevented one.
     result<node_response> send_to_host(const std::string& host,
                                        const net::http_request& request);
 
-    /// Sends a GET and passes on the pieces of a successful answer.
+    /// Sends a GET and passes on the body of a successful response in pieces.
+    /// After the first piece no other node is tried.
     ///
     /// \param target Path and query.
-    /// \param on_piece Gets each piece.
-    /// \returns As ask(); the body is empty on success.
+    /// \param on_piece Called with each piece.
+    /// \returns As send_request(); the body is empty on success.
     result<node_response>
     download(const std::string& target,
              const std::function<void(std::string_view)>& on_piece);
--- a/src/cli/node_list.hpp
+++ b/src/cli/node_list.hpp
@@ -10,8 +10,7 @@
 {
 
 /// \param text As "IP:PORT,IP:PORT".
-/// \returns The addresses; nothing when the text is not of that form
-/// or names none.
+/// \returns The addresses; nullopt when the text is malformed or empty.
 std::optional<std::vector<endpoint>> parse_nodes(const std::string& text);
 
 } // namespace parsleytrack::cli
--- a/src/cli/node_response.hpp
+++ b/src/cli/node_response.hpp
@@ -5,13 +5,13 @@
 namespace parsleytrack::cli
 {
 
-/// What a node has answered.
+/// HTTP response of a node.
 struct node_response
 {
     int status = 0;
     std::string body;
 
-    /// \returns Whether the node has done what was asked.
+    /// \returns Whether the status is a success (2xx).
     bool ok() const { return this->status >= 200 && this->status < 300; }
 };
 
--- a/src/cli/output.cpp
+++ b/src/cli/output.cpp
@@ -20,7 +20,7 @@
 
 void print_error_detail(const json& detail)
 {
-    std::cerr << "refused: " << detail.value("message", "no reason was given")
+    std::cerr << "refused: " << detail.value("message", "no message was given")
               << " (" << detail.value("reason", "unknown") << ")\n";
     if (detail.contains("findings") && detail["findings"].is_array())
     {
@@ -32,7 +32,7 @@
     }
     if (detail.value("ran", "") == "unknown")
     {
-        std::cerr << "It may have taken effect: look before you repeat it.\n";
+        std::cerr << "It may have taken effect: check before repeating it.\n";
     }
     const auto wait = detail.find("retry_after_ms");
     if (wait != detail.end() && wait->is_number())
@@ -52,8 +52,8 @@
                   << "Check --nodes and that the daemon runs there.\n";
         if (reason.ran == ran_state::unknown)
         {
-            std::cerr << "The request may have taken effect: look before you "
-                         "repeat it.\n";
+            std::cerr << "The request may have taken effect: check before "
+                         "repeating it.\n";
         }
         return exit_code::unreachable;
     }
@@ -84,7 +84,7 @@
     const json body = json::parse(response.value().body, nullptr, false);
     if (body.is_discarded())
     {
-        std::cerr << "the node's answer is not JSON\n";
+        std::cerr << "the node's response is not JSON\n";
         return exit_code::refused;
     }
     print(body);
--- a/src/cli/relay_commands.cpp
+++ b/src/cli/relay_commands.cpp
@@ -23,9 +23,9 @@
     return request;
 }
 
-/// Asks one node, and then all that it knows, which serve their status at the
-/// same port. Nodes that do not answer are listed with what the first one
-/// believes of them.
+/// Fetches the status of one node and of every node in its list; all serve it
+/// on the same port. Nodes that do not respond are listed with the state that
+/// the first node reports for them.
 result<json> fetch_all_statuses(node_client& nodes)
 {
     const auto first = nodes.send_request(status_request());
@@ -37,8 +37,8 @@
     if (!first.value().ok() || !own.is_object())
     {
         return error{error_code::bad_request,
-                     "the address serves no status; name the metrics address "
-                     "of a relay node",
+                     "the address does not serve a status; pass the metrics "
+                     "address of a relay node",
                      ran_state::no,
                      {}};
     }
@@ -71,8 +71,8 @@
     return all;
 }
 
-/// Prints the statuses of all nodes: as they are with --json, otherwise by a
-/// function.
+/// Prints the statuses of all nodes: as a JSON array with --json, otherwise
+/// with a function.
 exit_code print_all_statuses(node_client& nodes,
                              const std::function<void(const json&)>& print)
 {
@@ -171,15 +171,15 @@
     return {
         {{"relay", "nodes"},
          {},
-         "Shows each relay node with its configuration and its reach; --nodes "
-         "names metrics addresses.",
+         "Shows each relay node, its configuration and whether it reaches the "
+         "store; --nodes takes metrics addresses.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
              return print_all_statuses(nodes, print_nodes);
          }},
         {{"relay", "replicas"},
          {},
-         "Shows the replicas as one relay node knows them.",
+         "Shows the replicas known to one relay node.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
              return print_response(nodes.send_request(status_request()),
@@ -187,14 +187,15 @@
          }},
         {{"relay", "jobs"},
          {},
-         "Shows the batch jobs that relay nodes run, and how far they are.",
+         "Shows the batch jobs that relay nodes run, and their progress.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
              return print_all_statuses(nodes, print_jobs);
          }},
         {{"relay", "slots"},
          {},
-         "Shows the slots of each pool of replicas, and what waits for them.",
+         "Shows the slots of each replica pool and the requests waiting for "
+         "them.",
          [](node_client& nodes, const std::vector<std::string>&)
          {
              return print_all_statuses(nodes, print_slots);
--- a/src/cli/release_commands.cpp
+++ b/src/cli/release_commands.cpp
@@ -95,7 +95,8 @@
                           print_status);
 }
 
-/// \returns Whether every node that answers for the fleet has the version.
+/// \returns Whether every node listed in a release status has at least the
+/// version; false when none is listed.
 bool is_in_force_everywhere(const json& status, std::int64_t version)
 {
     const json nodes = status.value("nodes", json::array());
--- a/src/cli/request_generator.cpp
+++ b/src/cli/request_generator.cpp
@@ -60,7 +60,7 @@
         this->options.batch_deadline);
     request.target =
         "/v1/batches?deadline_s=" + std::to_string(deadline.count());
-    // Two runs with one seed are two jobs.
+    // A random key, so that two runs with the same seed submit separate jobs.
     const std::string key = "load-" + std::to_string(std::random_device()()) +
                             "-" + std::to_string(job);
     request.headers = {{"Content-Type", "application/jsonl"},
--- a/src/cli/request_generator.hpp
+++ b/src/cli/request_generator.hpp
@@ -10,18 +10,18 @@
 namespace parsleytrack::cli
 {
 
-/// Writes requests: prompts of families that share a prefix, from workspaces
-/// of unequal size.
+/// Generates requests. The prompts of a family share a prefix, and workspaces
+/// send unequal numbers of requests.
 class request_generator
 {
 public:
     explicit request_generator(const load_options& load);
 
-    /// \returns The next online request, streamed.
+    /// \returns The next online request; it asks for a streamed response.
     net::http_request online_request();
 
-    /// \param job The job's number.
-    /// \returns The request that submits a batch job.
+    /// \param job Number of the job, part of its idempotency key.
+    /// \returns The request that submits the job.
     net::http_request batch_job_request(int job);
 
 private:
--- a/src/cli/settings_commands.cpp
+++ b/src/cli/settings_commands.cpp
@@ -17,7 +17,7 @@
 
 using json = nlohmann::json;
 
-/// \returns All that is wrong with a settings file; empty when it is valid.
+/// \returns All findings in a settings file; empty when it is valid.
 findings find_problems(const std::string& path)
 {
     const auto problems_of = [](const auto& outcome)
@@ -65,7 +65,8 @@
     return {
         {{"settings", "check"},
          {"FILE"},
-         "Checks a settings file without a node; --relay for a relay node's.",
+         "Checks a settings file without contacting a node; --relay for the "
+         "settings of a relay node.",
          check_settings}};
 }
 
--- a/src/cli/table.hpp
+++ b/src/cli/table.hpp
@@ -7,14 +7,14 @@
 namespace parsleytrack::cli
 {
 
-/// Rows of text that are printed in aligned columns.
+/// Prints rows of text in aligned columns.
 class table
 {
 public:
     /// \param titles The heading of each column.
     explicit table(std::vector<std::string> titles);
 
-    /// \param cells One text for each column.
+    /// \param cells One text for each column; missing ones stay empty.
     void add(std::vector<std::string> cells);
 
     /// Writes the heading and the rows.
--- a/src/cli/token_stream_parser.hpp
+++ b/src/cli/token_stream_parser.hpp
@@ -12,23 +12,24 @@
 namespace parsleytrack::cli
 {
 
-/// Reads one streamed answer and measures it.
+/// Parses one streamed response and records when its tokens arrived.
 class token_stream_parser
 {
 public:
-    /// Takes a piece of the body.
+    /// Parses the next piece of the body, which arrived at `now`.
     void add(std::string_view piece, time_point now);
 
-    /// \returns When each token came.
+    /// \returns The arrival time of each event with text, taken as one token.
     const std::vector<time_point>& token_times() const
     {
         return this->arrival_times;
     }
 
-    /// \returns Whether the answer's last event has come.
+    /// \returns Whether the final event, "[DONE]", has arrived.
     bool is_complete() const { return this->complete; }
 
-    /// \returns The pieces that were no events: the body of a refusal.
+    /// \returns The body after its last line break: all of a refusal that is
+    /// written on one line.
     const std::string& non_event_body() const { return this->buffer; }
 
 private:
@@ -39,9 +40,9 @@
     bool complete = false;
 };
 
-/// \param body Body of a refusal.
+/// \param body Response body of a refusal.
 /// \param status Its HTTP status.
-/// \returns The reason that it gives.
+/// \returns The reason named in the body; "status N" when it names none.
 std::string refusal_reason(const std::string& body, int status);
 
 } // namespace parsleytrack::cli
