--- a/tests/examples/examples_test.cpp
+++ b/tests/examples/examples_test.cpp
@@ -17,7 +17,10 @@
 
 const fs::path examples = EXAMPLES_FOLDER;
 
-/// \returns How many files with an extension lie below folders of a name.
+/// Calls `check` for every file with the extension whose direct parent folder
+/// has the given name.
+///
+/// \returns The number of files checked.
 template <class Check>
 int check_files(const char* folder, const char* extension, Check check)
 {
@@ -48,13 +51,13 @@
 
 TEST_GROUP(examples){};
 
-TEST(examples, settings_have_no_findings)
+TEST(examples, settings_are_valid)
 {
     LONGS_EQUAL(6, check_files("demo", ".json", check_settings));
     LONGS_EQUAL(12, check_files("fleet", ".json", check_settings));
 }
 
-TEST(examples, batch_jobs_have_distinct_complete_items)
+TEST(examples, batch_jobs_have_complete_items_with_unique_ids)
 {
     const auto check = [](const fs::path& path)
     {
--- a/tests/load/load_test.cpp
+++ b/tests/load/load_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_GROUP(load){};
 
-TEST(load, arrivals_have_the_rate_and_the_bursts_asked_for)
+TEST(load, arrivals_follow_the_configured_rate_and_bursts)
 {
     arrival_process arrivals(some_load());
     int in_bursts = 0;
@@ -45,7 +45,7 @@
     CHECK(outside > 80'200 - 1'450 && outside < 80'200 + 1'450);
 }
 
-TEST(load, the_same_seed_gives_the_same_run)
+TEST(load, the_same_seed_generates_the_same_arrivals_and_prompts)
 {
     arrival_process first(some_load());
     arrival_process second(some_load());
@@ -72,7 +72,7 @@
     DOUBLES_EQUAL(0, latency_histogram().percentile_ms(0.5), 0);
 }
 
-TEST(load, a_stream_is_read_across_pieces)
+TEST(load, a_stream_is_parsed_when_events_are_split_across_pieces)
 {
     token_stream_parser stream;
     const time_point start;
@@ -89,14 +89,14 @@
     LONGS_EQUAL(1, stream.token_times().size());
 }
 
-TEST(load, a_list_of_nodes_names_at_least_one)
+TEST(load, lists_of_nodes_are_parsed_and_empty_or_malformed_ones_rejected)
 {
     CHECK(!parse_nodes("").has_value());
     CHECK(!parse_nodes("127.0.0.1").has_value());
     LONGS_EQUAL(2, parse_nodes("127.0.0.1:1,127.0.0.2:3")->size());
 }
 
-TEST(load, reasons_of_refusals_are_read)
+TEST(load, the_reason_of_a_refusal_is_parsed_or_falls_back_to_the_status)
 {
     STRCMP_EQUAL(
         "overloaded",
