--- a/tests/relay_process/feed_test.cpp
+++ b/tests/relay_process/feed_test.cpp
@@ -13,21 +13,21 @@
 {
 
 constexpr int node_count = 5;
-/// So that two of the nodes follow the store and three follow these.
+/// Two of the nodes watch the store, and the other three follow these two.
 constexpr int max_direct_followers = 2;
 constexpr std::size_t source_count = 2;
 const std::string replica_prefix = "servers/";
 
-/// Changes the list of replicas, at which calls of nodes that no longer follow
-/// the store end.
+/// Changes the list of replicas. This ends the open watches of nodes that no
+/// longer watch the store.
 void change_replica_list(relay_fleet& fleet, int number)
 {
     fleet.store.put("servers/i-broken", std::to_string(number));
 }
 
-/// Waits until only the sources follow the store.
+/// Waits until only the sources watch the store.
 ///
-/// \returns The sources.
+/// \returns The numbers of the source nodes.
 std::set<int> wait_for_sources(relay_fleet& fleet)
 {
     int number = 0;
@@ -77,7 +77,8 @@
         relay_fleet_options{.node_count = node_count,
                             .max_direct_followers = max_direct_followers});
     wait_for_sources(fleet);
-    // A leaving replica gets nothing new two seconds after its word.
+    // A leaving replica gets no new requests two seconds after it reported that
+    // it drains.
     fleet.store.put("servers/i-0", fleet.engines[0]->record("llm", "draining"));
     fleet.run_for(std::chrono::seconds(2));
     for (int node = 0; node < node_count; ++node)
@@ -117,7 +118,8 @@
         fleet.process(node).signal(SIGSTOP);
     }
     fleet.store.put("servers/i-0", fleet.engines[0]->record("llm", "draining"));
-    // The silence that is allowed, and the time for changes.
+    // Covers the timeout for unresponsive sources and the time in which changes
+    // must arrive.
     fleet.run_for(std::chrono::milliseconds(3000));
     for (int node = 0; node < node_count; ++node)
     {
@@ -145,8 +147,8 @@
     const int before = fleet.store.refused_calls();
     constexpr int seconds = 5;
     fleet.run_for(std::chrono::seconds(seconds));
-    // A node has two lists to follow, each of which it may ask for once a
-    // second, and looks for jobs without an owner every two seconds.
+    // A node watches two lists, each of which it may request once a second, and
+    // looks for jobs without an owner every two seconds.
     constexpr double max_calls_per_second = 2.5;
     CHECK(fleet.store.refused_calls() - before <=
           node_count * seconds * max_calls_per_second);
--- a/tests/relay_process/progress_test.cpp
+++ b/tests/relay_process/progress_test.cpp
@@ -13,7 +13,8 @@
 
 constexpr int item_count = 2;
 
-/// So that an item runs for longer than it takes to write its progress.
+/// Long enough that an item runs for longer than it takes to write its
+/// progress.
 constexpr duration event_interval = std::chrono::milliseconds(500);
 constexpr duration partial_run_time = std::chrono::milliseconds(4000);
 
@@ -27,7 +28,7 @@
     fleet.run_for(partial_run_time);
 }
 
-/// Checks that the items ended whole, and were gone on with.
+/// Checks that each item has its complete output and that items were resumed.
 void check_resumed(relay_fleet& fleet, int node)
 {
     for (const auto& engine : fleet.engines)
--- a/tests/relay_process/protocol_test.cpp
+++ b/tests/relay_process/protocol_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr duration read_timeout = std::chrono::seconds(10);
 
-/// A caller's connection on which any bytes can be sent.
+/// A caller's connection over which arbitrary bytes can be sent.
 class raw_caller
 {
 public:
@@ -136,7 +136,7 @@
 
 TEST(relay_caller_limits, a_head_over_the_limit_is_refused)
 {
-    // The configuration of the fleet allows 16 KB.
+    // The fleet's configuration allows 16 KiB of headers.
     relay_fleet fleet(1);
     const raw_caller caller(fleet.loop, fleet.front_address(0));
     caller.send("POST /plain/a HTTP/1.1\r\n" + head_fields +
@@ -174,6 +174,6 @@
                 "Parsleytrack-Request-Id: id1\r\nContent-Length: 0\r\n\r\n");
     const std::string response = caller.read_to_end();
     STRCMP_CONTAINS("page of id1", response.c_str());
-    // Callers use a connection again for up to four fifths of the limit.
+    // Callers reuse a connection for up to four fifths of the limit.
     CHECK(net::event_loop::now() - begin >= relay_fleet::idle_timeout);
 }
--- a/tests/relay_process/recovery_test.cpp
+++ b/tests/relay_process/recovery_test.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// What a caller has read of a job.
+/// \returns The first page of a job's results, or an empty object if the
+/// request fails.
 nlohmann::json read_page(relay_fleet& fleet, int node, const std::string& job)
 {
     const auto response =
@@ -71,7 +72,7 @@
     {
         engine->behaviour = replica_stand_in::fault::none;
     }
-    // Longer than it takes to find jobs without an owner.
+    // Longer than it takes the nodes to find jobs without an owner.
     fleet.run_for(std::chrono::seconds(4));
     for (const auto& engine : fleet.engines)
     {
--- a/tests/relay_process/rules_test.cpp
+++ b/tests/relay_process/rules_test.cpp
@@ -12,9 +12,9 @@
 {
 
 constexpr int request_count = 24;
-/// Time that callers of the fleet have.
+/// Deadline that relay_fleet sets on its calls.
 constexpr int caller_deadline_ms = 5000;
-/// How much later than the caller's time a replica may be told to stop.
+/// How far a replica's deadline may lie beyond the caller's.
 constexpr int slack_ms = 500;
 
 } // namespace
@@ -56,7 +56,7 @@
         CHECK(fleet.wait([&begun] { return begun; }));
         CHECK_EQUAL(1, streams());
     }
-    // Half a second is what the platform allows.
+    // The platform allows half a second.
     fleet.run_for(std::chrono::milliseconds(500));
     CHECK_EQUAL(0, streams());
 }
@@ -65,7 +65,7 @@
 {
     relay_fleet fleet(
         relay_fleet_options{.node_count = 1, .has_proxies = true});
-    // The first replica is silent, so that requests to it are sent again
+    // The first replica is unresponsive, so that requests to it are retried
     // after 600 ms.
     fleet.replica_proxies[0]->set_fault(fault_proxy::fault::blocked);
     int retries = 0;
@@ -98,7 +98,7 @@
     {
         engine->behaviour = replica_stand_in::fault::failing;
     }
-    // The route allows three attempts; the replicas fail each.
+    // The route allows three attempts, and the replicas fail all of them.
     const auto response = fleet.call(0, "POST", "/stream/a", "id1");
     CHECK(response.status >= 500);
     int runs = 0;
@@ -112,7 +112,7 @@
 TEST(relay_rules, another_service_at_a_reused_address_runs_nothing)
 {
     relay_fleet fleet(1);
-    // The address of a replica that is gone belongs to another service now.
+    // Another service now uses the address of a replica that is gone.
     fleet.engines[0]->advertise(fleet.web->listen_address());
     fleet.store.put("servers/i-0", fleet.engines[0]->record("llm"));
     fleet.run_for(std::chrono::milliseconds(1500));
--- a/tests/relay_process/status_test.cpp
+++ b/tests/relay_process/status_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// \returns What a command has printed with --json.
+/// \returns The output of a subcommand of `relay` with --json.
 nlohmann::json run_command(relay_fleet& fleet, const std::string& subcommand)
 {
     process_support::temporary_folder folder;
--- a/tests/relay_process/whole_path_test.cpp
+++ b/tests/relay_process/whole_path_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Checks that each item has one result with the whole text.
+/// Checks that each item has exactly one result, with the complete output.
 void check_results(const nlohmann::json& results, std::size_t count)
 {
     CHECK_EQUAL(count, results.size());
@@ -26,8 +26,8 @@
     }
 }
 
-/// How long after its word a leaving replica may get new requests, as the
-/// platform's smaller deployments have it.
+/// How long a leaving replica may still get new requests after it reported
+/// that it drains, as the platform's smaller deployments require it.
 constexpr duration max_drain_delay = std::chrono::milliseconds(2000);
 
 int run_count(const relay_fleet& fleet, const std::string& request)
@@ -77,7 +77,8 @@
                 fleet.call(0, "POST", "/plain/a", "id2", long_body).status);
     CHECK_EQUAL(400,
                 fleet.call(0, "POST", "/batch/j", "id3", "no json").status);
-    // 60 items of 100 tokens fit the limit of 100,000 sixteen times.
+    // 16 jobs of 60 items with 100 tokens each fit the limit of 100,000
+    // tokens.
     int refused = 0;
     for (auto& engine : fleet.engines)
     {
@@ -230,7 +231,7 @@
                       : 0;
     }
     CHECK_EQUAL(sent, served);
-    // A refusal says that the job does not run.
+    // Both statuses mean that the job was not accepted and does not run.
     const int status = fleet.submit(0, "job", 3).status;
     CHECK(status == 503 || status == 504);
     fleet.store.set_refusing(fleet.store_address(0), false);
@@ -267,7 +268,7 @@
     CHECK_EQUAL(202, fleet.submit(0, "job", 6).status);
     send_request();
     fleet.process(0).signal(SIGTERM);
-    // Callers keep the address for three times its validity of 0.5 s.
+    // Callers may use the address for three times its validity of 0.5 s.
     const time_point until =
         net::event_loop::now() + std::chrono::milliseconds(1300);
     time_point next = net::event_loop::now();
--- a/tests/relay_support/expected_output.hpp
+++ b/tests/relay_support/expected_output.hpp
@@ -7,7 +7,7 @@
 namespace parsleytrack::relay_support
 {
 
-/// \returns A whole stream as callers get it.
+/// \returns The complete event stream that a caller receives.
 inline std::string expected_stream()
 {
     std::string text;
@@ -19,7 +19,7 @@
     return text;
 }
 
-/// \returns The whole output of an item.
+/// \returns The complete output of a job's item.
 inline std::string expected_output()
 {
     std::string text;
--- a/tests/relay_support/fault_proxy.hpp
+++ b/tests/relay_support/fault_proxy.hpp
@@ -14,26 +14,26 @@
 namespace parsleytrack::relay_support
 {
 
-/// Passes connections on to another address, and can harm them meanwhile.
+/// Forwards connections to another address and can inject network faults.
 class fault_proxy
 {
 public:
     enum class fault
     {
         none,
-        /// Bytes arrive later.
+        /// Bytes are forwarded after a delay.
         delayed,
-        /// Connections are reset, new ones as well.
+        /// Existing and new connections are reset.
         reset,
-        /// Nothing arrives in either direction until the fault ends.
+        /// No bytes are forwarded in either direction until the fault ends.
         blocked,
-        /// Nothing arrives in one direction.
+        /// No bytes are forwarded in one direction.
         blocked_to_server,
         blocked_to_client
     };
 
     /// \param event_loop Outlives this object.
-    /// \param target Where connections are passed on to.
+    /// \param target The address that connections are forwarded to.
     fault_proxy(net::event_loop& event_loop, endpoint target);
     ~fault_proxy();
     fault_proxy(const fault_proxy&) = delete;
@@ -43,9 +43,9 @@
 
     void set_fault(fault next);
 
-    /// Called by the library's callbacks only.
+    /// For the callbacks of libevent only.
 
-    /// One of the two connections of a caller.
+    /// One of the two connections that make up a forwarded connection.
     struct side
     {
         fault_proxy* owner = nullptr;
@@ -53,7 +53,8 @@
         side* other = nullptr;
         bool to_server = false;
         bool ended = false;
-        /// Bytes that were read here and go to the other side.
+        /// Bytes read here that await forwarding to the other side, each with
+        /// the time from which they may be sent.
         std::deque<std::pair<time_point, std::string>> pending;
     };
     void read(side& from);
--- a/tests/relay_support/loopback_listener.hpp
+++ b/tests/relay_support/loopback_listener.hpp
@@ -19,12 +19,13 @@
 };
 } // namespace detail
 
-/// Accepts connections at a free port of the loopback interface.
+/// Accepts connections on a free port of the loopback interface.
 class loopback_listener
 {
 public:
     /// \param loop Outlives this object.
-    /// \param callback Gets the socket of each connection, and owns it.
+    /// \param callback Receives the socket of each connection and takes
+    /// ownership of it.
     loopback_listener(net::event_loop& loop, std::function<void(int)> callback);
 
     const endpoint& address() const { return this->bound_address; }
--- a/tests/relay_support/raw_replica.cpp
+++ b/tests/relay_support/raw_replica.cpp
@@ -33,7 +33,7 @@
            body;
 }
 
-/// \returns The value of a field in the text of a request, or nothing.
+/// \returns The value of a header field, empty when it is missing.
 std::string field(const std::string& text, const std::string& name)
 {
     const std::size_t begin = text.find(name + ": ");
--- a/tests/relay_support/raw_replica.hpp
+++ b/tests/relay_support/raw_replica.hpp
@@ -11,18 +11,18 @@
 namespace parsleytrack::relay_support
 {
 
-/// A replica that does not keep to the protocol. It writes its answers as
-/// bytes, so that it can send what a server would not.
+/// A replica that violates the protocol. It writes responses as raw bytes, so
+/// that it can send what an HTTP server would not.
 class raw_replica
 {
 public:
     enum class fault
     {
-        /// Sends one more answer, of the request before, after each answer.
+        /// Sends after each response a second one, for the previous request.
         extra_response,
-        /// Begins an event and goes on with it for ever.
+        /// Starts an event and never ends it.
         endless_event,
-        /// Reads the request and resets the connection.
+        /// Resets the connection after reading the request.
         reset
     };
 
@@ -32,15 +32,15 @@
     raw_replica(const raw_replica&) = delete;
     raw_replica& operator=(const raw_replica&) = delete;
 
-    /// \returns What it writes of itself to the store.
+    /// \returns The replica's record in the store, as JSON.
     std::string record(const std::string& service) const;
 
     const std::string& name() const { return this->id; }
 
-    /// How often each request was run.
+    /// Number of runs by request id.
     std::map<std::string, int> runs;
 
-    /// Called by the library's callbacks only.
+    /// For the callbacks of libevent only.
     void read(bufferevent* link);
     void close(bufferevent* link);
     void write_more(bufferevent* link);
--- a/tests/relay_support/relay_fleet.cpp
+++ b/tests/relay_support/relay_fleet.cpp
@@ -19,8 +19,8 @@
 
 constexpr duration wait_timeout = std::chrono::seconds(20);
 
-/// \returns A loopback address of this process's own, so that no connection
-/// or other test takes the port between its choice and its use.
+/// \returns A loopback address that only this process uses, so that no other
+/// connection or test takes a port between its selection and its use.
 std::string node_host(std::size_t number)
 {
     const auto pid = static_cast<unsigned>(::getpid());
@@ -28,7 +28,7 @@
            std::to_string(pid % 256) + "." + std::to_string(number + 2);
 }
 
-/// Ports that are free at the addresses of all nodes.
+/// Selects ports that are free at the addresses of all nodes.
 class port_allocator
 {
 public:
@@ -37,8 +37,8 @@
     {
     }
 
-    /// \returns A port that was free everywhere a moment ago, and that was not
-    /// returned before.
+    /// \returns A port that was free at all addresses when checked, and that
+    /// was not returned before.
     std::uint16_t next()
     {
         while (true)
@@ -132,7 +132,7 @@
     this->web = add_replica("i-web", "web");
     this->store.put("servers/i-broken", "{\"service\":1}");
     this->nodes.resize(static_cast<std::size_t>(node_count));
-    // All nodes use one port for one another, each at its own address.
+    // All nodes use the same peer port, each at its own address.
     port_allocator ports(this->loop, this->nodes.size());
     const std::uint16_t peer_port = ports.next();
     const std::uint16_t metrics_port = ports.next();
@@ -161,7 +161,7 @@
     {
         this->wait_ready(number);
     }
-    // Until each node answers with all of them.
+    // Waits until the directory lists all nodes.
     this->wait(
         [this, node_count]
         {
@@ -243,7 +243,7 @@
         });
     if (!ready)
     {
-        throw std::runtime_error("a node is not ready: " +
+        throw std::runtime_error("node did not become ready: " +
                                  this->process(number).output());
     }
 }
--- a/tests/relay_support/relay_fleet.hpp
+++ b/tests/relay_support/relay_fleet.hpp
@@ -18,21 +18,23 @@
 namespace parsleytrack::relay_support
 {
 
-/// Relay nodes as processes, with the store and the replicas in this process.
+/// Runs relay nodes as processes; the stand-ins for the store and the replicas
+/// run in this process.
 class relay_fleet
 {
 public:
-    /// \param node_count How many nodes; all else as usual.
+    /// \param node_count Number of nodes; other options have their defaults.
     explicit relay_fleet(int node_count);
     explicit relay_fleet(const relay_fleet_options& chosen);
 
-    /// \param version The version.
-    /// \param plain_prefix Prefix of the route of plain requests.
-    /// \returns What operators write.
+    /// \param version Version number of the configuration.
+    /// \param plain_prefix Path prefix of the route for plain requests.
+    /// \returns A configuration document as operators write it, as JSON.
     static std::string configuration(int version,
                                      const std::string& plain_prefix);
 
-    /// An answer, or status 0 when the connection ended without one.
+    /// A response. The status is -1 while the call is pending, and 0 when the
+    /// connection ended without a response.
     struct response
     {
         int status = 0;
@@ -40,33 +42,35 @@
         std::string body;
     };
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response.
+    ///
+    /// \param node Index of the node; -1 for the directory of the first node.
     response call(int node, const std::string& method, const std::string& path,
                   const std::string& id = "", const std::string& body = "");
 
-    /// \returns The text of a node's metrics.
+    /// \returns The body of a node's metrics page.
     std::string metrics_text(int node);
 
-    /// Starts a request; the answer is put where the pointer points.
+    /// Sends a request without waiting; the response is written to \p into.
     void start_call(int node, const std::string& method,
                     const std::string& path, const std::string& id,
                     const std::string& body, std::shared_ptr<response> into);
 
-    /// Submits a job of some items.
+    /// Submits a job with a number of items.
     response submit(int node, const std::string& job, int items);
 
-    /// Reads results until all are there or the time is over.
+    /// Reads the results page by page until all have arrived or the wait times
+    /// out.
     nlohmann::json results(int node, const std::string& job);
 
-    /// Runs the loop for a time.
     void run_for(duration span);
 
     /// Runs the loop until a condition holds.
     ///
-    /// \returns Whether it came to hold within the patience.
+    /// \returns Whether it held before the timeout of 20 s.
     bool wait(const std::function<bool()>& condition);
 
-    /// Waits until a node takes requests.
+    /// Waits until a node reports that it is ready; throws when it times out.
     void wait_ready(int node);
 
     void start(int node);
@@ -89,15 +93,15 @@
         return this->nodes.at(static_cast<std::size_t>(node)).metrics;
     }
 
-    /// How long callers' connections may be idle, by the configuration.
+    /// Idle timeout of callers' connections, as in the configuration.
     static constexpr duration idle_timeout = std::chrono::milliseconds(2000);
 
     net::event_loop loop;
     store_stand_in store{this->loop};
     std::vector<std::unique_ptr<replica_stand_in>> engines;
     std::unique_ptr<replica_stand_in> web;
-    /// One for each node, and one for each replica, the web replica last; none
-    /// unless the options ask for them.
+    /// One proxy per node and one per replica, that of the web replica last;
+    /// empty unless relay_fleet_options::has_proxies is set.
     std::vector<std::unique_ptr<fault_proxy>> store_proxies;
     std::vector<std::unique_ptr<fault_proxy>> replica_proxies;
 
--- a/tests/relay_support/relay_fleet_options.hpp
+++ b/tests/relay_support/relay_fleet_options.hpp
@@ -3,17 +3,17 @@
 namespace parsleytrack::relay_support
 {
 
-/// How a fleet is set up.
+/// Options of a relay_fleet.
 struct relay_fleet_options
 {
     int node_count = 1;
-    /// How long results stay readable, in seconds.
+    /// How long results are kept, in seconds.
     int keep_results_s = 900;
-    /// Up to so many nodes all follow the store.
+    /// Number of nodes up to which every node watches the store itself.
     int max_direct_followers = 16;
     int engine_count = 3;
-    /// Whether each node reaches the store, and all reach each replica, through
-    /// a proxy that can harm the connections.
+    /// Whether the connections from each node to the store and those to each
+    /// replica pass through a proxy that can inject faults.
     bool has_proxies = false;
 };
 
--- a/tests/relay_support/replica_record.hpp
+++ b/tests/relay_support/replica_record.hpp
@@ -9,11 +9,11 @@
 namespace parsleytrack::relay_support
 {
 
-/// \param service Which service a replica belongs to.
-/// \param address Where it says that it listens.
-/// \param state What it says of itself.
-/// \param slots Requests that it runs at the same time.
-/// \returns What it writes of itself to the store.
+/// \param service Service that the replica belongs to.
+/// \param address Address that the replica advertises.
+/// \param state State that the replica reports.
+/// \param slots Number of requests that the replica runs concurrently.
+/// \returns The replica's record in the store, as JSON.
 inline std::string replica_record(const std::string& service,
                                   const endpoint& address,
                                   const std::string& state = "ready",
--- a/tests/relay_support/replica_stand_in.hpp
+++ b/tests/relay_support/replica_stand_in.hpp
@@ -14,56 +14,58 @@
 namespace parsleytrack::relay_support
 {
 
-/// A replica: answers plain requests at once, and streams numbered events for
-/// paths that begin with "/stream/" and for items of jobs.
+/// Stands in for a replica: responds to requests under "/plain/" at once, and
+/// streams numbered events for other paths and for items of jobs.
 class replica_stand_in
 {
 public:
     enum class fault
     {
         none,
-        /// Says that it did not run the request.
+        /// Rejects requests and states that it did not run them.
         full,
-        /// Breaks a stream off after its third event.
+        /// Aborts each stream after event 3, in the middle of the next event.
         truncating,
-        /// Answers items with 500.
+        /// Responds with status 500.
         failing
     };
 
     replica_stand_in(net::event_loop& event_loop, std::string replica_name);
 
-    /// \returns What it writes of itself to the store.
+    /// \returns The replica's record in the store, as JSON.
     std::string record(const std::string& service,
                        const std::string& state = "ready") const;
 
-    /// \returns Where it listens.
+    /// \returns The address on which the replica listens, whatever address it
+    /// advertises.
     const endpoint& listen_address() const { return this->address; }
 
-    /// Names another address in what it writes of itself.
+    /// Sets the address that record() contains.
     void advertise(const endpoint& advertised)
     {
         this->advertised_address = advertised;
     }
 
-    /// \returns Streams that are under way.
+    /// \returns The number of streams in progress.
     std::size_t open_streams() const { return this->streams.size(); }
 
     const std::string& name() const { return this->id; }
 
-    /// Events of each stream.
+    /// Default number of events per stream.
     static constexpr int stream_events = 12;
 
     fault behaviour = fault::none;
-    /// Events of the streams that begin from now on.
+    /// Number of events of streams that start from now on.
     int event_count = stream_events;
-    /// Time between two events.
+    /// Interval between the events of a stream.
     duration event_interval = std::chrono::milliseconds(5);
-    /// Events after which each request was gone on with; 0 from its start.
+    /// For each run of a streamed request, by request id, the event after which
+    /// it resumed; 0 for a run from the start.
     std::map<std::string, std::vector<int>> resumed_after;
-    /// Milliseconds that each request had left, as it was told, and when it
-    /// came.
+    /// Remaining time in milliseconds that each request carried, and its time
+    /// of arrival, by request id.
     std::map<std::string, std::pair<int, time_point>> received_deadlines;
-    /// How often each request was run.
+    /// Number of runs by request id.
     std::map<std::string, int> runs;
 
 private:
--- a/tests/relay_support/store_stand_in.hpp
+++ b/tests/relay_support/store_stand_in.hpp
@@ -18,33 +18,36 @@
 namespace parsleytrack::relay_support
 {
 
-/// The platform's store, as far as the relay uses it. Each address that it
-/// listens on can be turned away for itself.
+/// Stands in for those parts of the platform's store that the relay uses. It
+/// can refuse the calls at each of its addresses separately.
 class store_stand_in
 {
 public:
     explicit store_stand_in(net::event_loop& event_loop);
 
-    /// Listens on one more address.
+    /// Listens on an additional address.
+    ///
+    /// \returns The address.
     endpoint add_address();
 
-    /// Writes a key as operators and replicas do.
+    /// Writes a key without a transaction, as operators and replicas do.
     void put(const std::string& key, const std::string& value);
     void erase(const std::string& key);
 
-    /// \returns The values of all keys with a prefix.
+    /// \returns The values of all keys that start with a prefix.
     std::vector<std::string> values(const std::string& prefix) const;
 
-    /// Refuses all calls at an address with 503, or no longer.
+    /// Sets whether all calls at an address are refused with status 503.
     void set_refusing(const endpoint& address, bool refusing);
 
-    /// \returns Calls that were refused because of set_refusing().
+    /// \returns The number of calls refused because of set_refusing().
     int refused_calls() const { return this->refused_count; }
 
-    /// \returns Addresses through which changes of a prefix are waited for.
+    /// \returns The addresses at which watches of a prefix are open.
     std::set<endpoint> watchers(const std::string& prefix) const;
 
-    /// The next transactions are carried out and not answered.
+    /// Number of following transactions that are processed and whose response
+    /// is not sent.
     int lost_responses = 0;
 
     int transactions() const { return this->transaction_count; }
