--- a/tests/relay_support/fault_proxy.cpp
+++ b/tests/relay_support/fault_proxy.cpp
@@ -83,25 +83,25 @@
 void fault_proxy::accept(int descriptor)
 {
     auto connection = std::make_unique<pair>();
-    pair& made = *connection;
-    made.client.link = bufferevent_socket_new(this->loop.base(), descriptor,
-                                              BEV_OPT_CLOSE_ON_FREE);
-    made.server.link =
+    pair& new_pair = *connection;
+    new_pair.client.link = bufferevent_socket_new(this->loop.base(), descriptor,
+                                                  BEV_OPT_CLOSE_ON_FREE);
+    new_pair.server.link =
         bufferevent_socket_new(this->loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     if (this->current_fault == fault::reset)
     {
-        this->reset(made);
+        this->reset(new_pair);
         return;
     }
-    made.client.owner = this;
-    made.client.other = &made.server;
-    made.client.to_server = true;
-    made.server.owner = this;
-    made.server.other = &made.client;
-    watch(made.client);
-    watch(made.server);
+    new_pair.client.owner = this;
+    new_pair.client.other = &new_pair.server;
+    new_pair.client.to_server = true;
+    new_pair.server.owner = this;
+    new_pair.server.other = &new_pair.client;
+    watch(new_pair.client);
+    watch(new_pair.server);
     sockaddr_in address = loopback(this->target.port);
-    bufferevent_socket_connect(made.server.link,
+    bufferevent_socket_connect(new_pair.server.link,
                                reinterpret_cast<sockaddr*>(&address),
                                sizeof(address));
     this->connections.push_back(std::move(connection));
--- a/tests/relay_support/replica_stand_in.hpp
+++ b/tests/relay_support/replica_stand_in.hpp
@@ -55,9 +55,9 @@
     static constexpr int stream_events = 12;
 
     fault behaviour = fault::none;
-    /// Number of events of streams that start from now on.
+    /// Number of events after which a stream ends.
     int event_count = stream_events;
-    /// Interval between the events of a stream.
+    /// Interval between the events of streams that start from now on.
     duration event_interval = std::chrono::milliseconds(5);
     /// For each run of a streamed request, by request id, the event after which
     /// it resumed; 0 for a run from the start.
--- a/tests/relay_support/store_stand_in.cpp
+++ b/tests/relay_support/store_stand_in.cpp
@@ -244,9 +244,11 @@
         const std::string key = condition["key"];
         const auto found = this->keys.find(key);
         const bool exists = found != this->keys.end() && !found->second.deleted;
-        const std::int64_t now = exists ? found->second.revision : 0;
+        const std::int64_t current_revision =
+            exists ? found->second.revision : 0;
         conditions_hold =
-            conditions_hold && now == condition["revision"].get<std::int64_t>();
+            conditions_hold &&
+            current_revision == condition["revision"].get<std::int64_t>();
         if (exists)
         {
             current.push_back(this->item(key, found->second));
