--- a/src/key_value/record_client.cpp
+++ b/src/key_value/record_client.cpp
@@ -16,8 +16,8 @@
 /// Timeout for one page of a listing. When all nodes start together they share
 /// the store's link, so that the transfer of a page may take seconds.
 constexpr duration listing_timeout = std::chrono::seconds(8);
-/// How long the store may hold a watch call open; its own limit is 30 s. The
-/// connection is probed during that time.
+/// How long the store may hold a watch call open; its own limit is 30 s. TCP
+/// keepalive detects a broken connection during that time.
 constexpr duration watch_wait = std::chrono::seconds(25);
 constexpr duration watch_timeout = watch_wait + call_timeout;
 constexpr duration initial_retry_delay = std::chrono::milliseconds(40);
